--- a/crates/agent/src/core.rs
+++ b/crates/agent/src/core.rs
@@ -225,7 +225,7 @@
 
     /// Puts evacuations into force that an entry told, unless those held were true later.
     pub(crate) fn hold_evacuations(self: &Arc<Self>, told: &Evacuations) {
-        if !self.evacuations.send_if_modified(|held| held.update(told)) {
+        if !self.evacuations.send_if_modified(|held| held.merge_newer(told)) {
             return;
         }
         let own_evacuated = self.change(|tasks, _| {
--- a/crates/agent/src/counters.rs
+++ b/crates/agent/src/counters.rs
@@ -38,7 +38,7 @@
         AgentReplyBody::Revoked(_)
         | AgentReplyBody::Fenced(_)
         | AgentReplyBody::Probed
-        | AgentReplyBody::Noted => return,
+        | AgentReplyBody::Acknowledged => return,
     };
     metrics::counter!("sycamorerail_agent_ends_total", "result" => result, "reason" => reason)
         .increment(1);
--- a/crates/agent/src/leased/lease.rs
+++ b/crates/agent/src/leased/lease.rs
@@ -9,7 +9,7 @@
     std::{sync::Arc, time::Duration},
     sycamorerail_decide::ledger::{LeaseAnswer, Ledger, LifeEnd},
     sycamorerail_telemetry::event,
-    sycamorerail_wire::runs::LifeId,
+    sycamorerail_wire::runs::InstanceId,
     tokio::time::{Instant, sleep_until},
 };
 
@@ -41,7 +41,7 @@
 }
 
 /// Keeps the lease of one life until it ends or another is present.
-async fn keep_life(leased: &Arc<Leased>, life: &LifeId) {
+async fn keep_life(leased: &Arc<Leased>, life: &InstanceId) {
     let mut keeping = Keeping { leased, life, unheard: 0, is_sure: false, is_heard: false };
     let mut under_way = FuturesUnordered::new();
     let mut next_at = Instant::now();
@@ -83,7 +83,7 @@
 
 struct Keeping<'a> {
     leased: &'a Arc<Leased>,
-    life: &'a LifeId,
+    life: &'a InstanceId,
     /// Calls in a row that found no listener.
     unheard: u32,
     /// The last call was answered. Else another life may answer the next one, which is not to
@@ -106,7 +106,7 @@
             Ok(mut answer) => {
                 answer.sent_ms = renewed.sent_ms;
                 answer.fence = renewed.fence;
-                answer.life = answer.life.or_present(Some(self.life));
+                answer.life = answer.life.or_current(Some(self.life));
                 self.answered(&answer, renewed.is_fenced)
             }
             Err(CallError::Fenced { clock_ms }) => {
@@ -139,7 +139,7 @@
     }
 
     /// Another life answered: the next one, or an earlier one late.
-    fn log_other(&self, answered: &LifeId) {
+    fn log_other(&self, answered: &InstanceId) {
         let is_present = self.leased.ledger.lock().present() == Some(answered);
         if is_present {
             metrics::counter!("sycamorerail_upstream_restarts_total").increment(1);
@@ -187,7 +187,7 @@
     }
 }
 
-async fn renew(leased: &Leased, life: &LifeId, wait_ms: u32, acknowledges: bool) -> Renewed {
+async fn renew(leased: &Leased, life: &InstanceId, wait_ms: u32, acknowledges: bool) -> Renewed {
     let sent_ms = leased.clock.now_ms();
     let (fence, is_fenced, renewal) = {
         let ledger = leased.ledger.lock();
@@ -210,7 +210,7 @@
     }
 }
 
-fn lose(leased: &Arc<Leased>, life: &LifeId, error: &CallError, how: LifeEnd) {
+fn lose(leased: &Arc<Leased>, life: &InstanceId, error: &CallError, how: LifeEnd) {
     event!(Warn, "upstream_lost", life = life, error = error);
     leased.change(|ledger, _| {
         if ledger.present() == Some(life) {
--- a/crates/agent/src/leased/links/link.rs
+++ b/crates/agent/src/leased/links/link.rs
@@ -18,8 +18,8 @@
         frames::{self, FrameError, FrameReader, FrameWriter},
         ids::Incarnation,
         runs::{
-            Evacuations, FromRunsAgent, Room, RunReport, RunsHello, RunsOpening, ToRunsAgent,
-            UpstreamLife, UpstreamLoad,
+            Evacuations, FromRunsAgent, Resources, RunReport, RunsFirstMessage, RunsHello,
+            ToRunsAgent, UpstreamInstance, UpstreamLoad,
         },
     },
     tokio::{
@@ -99,9 +99,9 @@
     ) -> Result<(Self, FrameReader, FrameWriter), FrameError> {
         let (mut reader, mut writer) = frames::connect(peer, CONNECT_WITHIN).await?;
         let hello = hello(leased, last_entry);
-        let told = hello.reports.last().map_or(0, |report| report.number);
-        let held = hello.held.clone();
-        writer.push(&RunsOpening::Agent(hello))?;
+        let told = hello.unconfirmed_reports.last().map_or(0, |report| report.number);
+        let held = hello.held_runs.clone();
+        writer.push(&RunsFirstMessage::Agent(hello))?;
         writer.flush().await?;
         let first = timeout(WELCOME_WITHIN, reader.next::<ToRunsAgent>()).await;
         let first = first.map_err(|_| FrameError::Closed(peer))??;
@@ -204,14 +204,16 @@
             ToRunsAgent::Stop(job) => {
                 leased.change(|ledger, _| ledger.stop_job(self.entry, job));
             }
-            ToRunsAgent::Finish { job, give_up_in_ms } => leased.change(|ledger, now_ms| {
-                ledger.finish_job(self.entry, job, give_up_in_ms, now_ms);
-            }),
+            ToRunsAgent::JobMostlyStarted { job, give_up_in_ms } => {
+                leased.change(|ledger, now_ms| {
+                    ledger.finish_job(self.entry, job, give_up_in_ms, now_ms);
+                })
+            }
             ToRunsAgent::Withdraw(tasks) => leased.change(|ledger, _| {
                 tasks.into_iter().for_each(|task| ledger.withdraw(self.entry, task));
             }),
             ToRunsAgent::Unlinked => self.unlinked.notify_one(),
-            ToRunsAgent::Beat { heard, confirmed, agents, largest } => {
+            ToRunsAgent::Heartbeat { heard, confirmed, agents, largest } => {
                 leased.links.beat(self.peer, agents, &largest);
                 let mut echo = self.echo.lock();
                 echo.heard(heard);
@@ -236,7 +238,7 @@
             ToRunsAgent::Crashes(told) => leased.change(|ledger, now_ms| {
                 ledger.crashes_told(&told, leased.incarnation, now_ms);
             }),
-            ToRunsAgent::WantConfiguration => self.asked.send_modify(|asked| *asked += 1),
+            ToRunsAgent::RequestConfiguration => self.asked.send_modify(|asked| *asked += 1),
         }
     }
 
@@ -316,9 +318,9 @@
         let revision = leased.configuration.lock().as_ref().map_or(0, |copy| copy.revision);
         if revision > self.entry_revision.load(Ordering::Acquire) && revision > told.revision {
             told.revision = revision;
-            messages.push(FromRunsAgent::Holds { revision });
+            messages.push(FromRunsAgent::ConfigurationRevision { revision });
         }
-        let lacking = leased.evacuations.lock().to_tell(&mut self.entry_evacuations.lock());
+        let lacking = leased.evacuations.lock().update_for_peer(&mut self.entry_evacuations.lock());
         messages.extend(lacking.map(FromRunsAgent::Evacuations));
         let now = Instant::now();
         if now >= told.cluster_at {
@@ -351,7 +353,7 @@
         }
         let Cluster { connected, named, largest } = cluster.clone();
         messages.push(FromRunsAgent::Entries { connected, named });
-        messages.push(FromRunsAgent::Largest(largest));
+        messages.push(FromRunsAgent::LargestCapacity(largest));
         told.cluster = Some(cluster);
     }
 }
@@ -364,12 +366,12 @@
     /// Its entries told it of them.
     pub(super) named: Vec<SocketAddr>,
     /// The most of each that an upstream of its pool has.
-    pub(super) largest: Room,
+    pub(super) largest: Resources,
 }
 
 /// What was told on a connection, and when the next message is due.
 struct Told {
-    life: Option<UpstreamLife>,
+    life: Option<UpstreamInstance>,
     cluster: Option<Cluster>,
     cluster_at: Instant,
     unlink: bool,
@@ -422,9 +424,13 @@
         agent: leased.incarnation,
         name: leased.settings.name.clone(),
         data_centre: leased.settings.data_centre.clone(),
-        entry: last_entry,
-        held: last_entry.map(|entry| ledger.held(entry)).unwrap_or_default(),
-        reports: last_entry.map(|entry| ledger.reports(entry)).unwrap_or_default(),
-        configuration: leased.configuration.lock().as_ref().map_or(0, |copy| copy.revision),
+        last_heard_entry: last_entry,
+        held_runs: last_entry.map(|entry| ledger.held(entry)).unwrap_or_default(),
+        unconfirmed_reports: last_entry.map(|entry| ledger.reports(entry)).unwrap_or_default(),
+        configuration_revision: leased
+            .configuration
+            .lock()
+            .as_ref()
+            .map_or(0, |copy| copy.revision),
     }
 }
--- a/crates/agent/src/leased/links/mod.rs
+++ b/crates/agent/src/leased/links/mod.rs
@@ -19,7 +19,7 @@
         LinkChoice, LinkLimits, LinkState, choose, next_count, preferred,
     },
     sycamorerail_telemetry::event,
-    sycamorerail_wire::{ids::Incarnation, runs::Room},
+    sycamorerail_wire::{ids::Incarnation, runs::Resources},
     tokio::{
         sync::{Notify, watch},
         time::{Instant, sleep, timeout_at},
@@ -49,7 +49,7 @@
     /// Links wanted; 0 before the first choice.
     wanted: usize,
     /// The most of each that an upstream of the agent's pool has.
-    largest: Room,
+    largest: Resources,
 }
 
 #[derive(Debug, Default)]
@@ -107,9 +107,9 @@
     }
 
     /// An entry tells what it has of the agent's pool.
-    fn beat(&self, by: SocketAddr, agents: u32, largest: &Room) {
+    fn beat(&self, by: SocketAddr, agents: u32, largest: &Resources) {
         let mut known = self.known.lock();
-        known.largest = known.largest.most(largest);
+        known.largest = known.largest.max_of_each(largest);
         if let Some(entry) = known.entries.get_mut(&by) {
             entry.agents = agents;
         }
--- a/crates/agent/src/leased/mod.rs
+++ b/crates/agent/src/leased/mod.rs
@@ -25,7 +25,7 @@
     sycamorerail_telemetry::event,
     sycamorerail_wire::{
         ids::Incarnation,
-        runs::{ConfigurationCopy, Evacuations, LifeId, RunEvent, TaskKey, UpstreamLife},
+        runs::{ConfigurationCopy, Evacuations, InstanceId, RunEvent, TaskKey, UpstreamInstance},
     },
     tokio::sync::{Notify, watch},
 };
@@ -69,7 +69,7 @@
     /// The upstream's life has changed.
     pub(crate) life_changed: Notify,
     /// The last life that was announced.
-    lives: watch::Sender<Option<UpstreamLife>>,
+    lives: watch::Sender<Option<UpstreamInstance>>,
     /// Entries that were dropped last, as silent: links to them end.
     pub(crate) dropped_owners: watch::Sender<Vec<Incarnation>>,
     /// A renewal is wanted at once, for what it lists.
@@ -132,7 +132,7 @@
 
     /// The last life of the upstream that was announced, as it changes.
     #[must_use]
-    pub fn lives(&self) -> watch::Receiver<Option<UpstreamLife>> {
+    pub fn lives(&self) -> watch::Receiver<Option<UpstreamInstance>> {
         self.lives.subscribe()
     }
 
@@ -141,7 +141,7 @@
     /// An announcement of another life than the one that answers renewals is not believed
     /// until an answer shows that life: it may have been sent by an earlier one, and held up.
     /// Nor is one that puts a known life into another pool: a life stays in its pool.
-    pub fn announced(self: &Arc<Self>, life: UpstreamLife) {
+    pub fn announced(self: &Arc<Self>, life: UpstreamInstance) {
         let (id, pool, leaving) = (life.id.clone(), life.pool.clone(), life.leaving);
         let cpu_milli = life.capacity.cpu_milli;
         match self.change(|ledger, now_ms| ledger.announced(life, now_ms)) {
@@ -166,7 +166,7 @@
     }
 
     /// A life of the upstream announced that it is slow for so many milliseconds more.
-    pub fn announced_cold(self: &Arc<Self>, life: LifeId, left_ms: u64) {
+    pub fn announced_cold(self: &Arc<Self>, life: InstanceId, left_ms: u64) {
         self.change(|ledger, now_ms| ledger.announced_cold(life, left_ms, now_ms));
     }
 
@@ -174,7 +174,7 @@
     /// the upstream announces itself: a restarted agent then starts tasks at once.
     ///
     /// Later too: late orders of the earlier run are below the fence from then on.
-    pub fn remember(self: &Arc<Self>, life: UpstreamLife) {
+    pub fn remember(self: &Arc<Self>, life: UpstreamInstance) {
         let is_unknown = self.change(|ledger, _| {
             ledger.recall_fence(&life);
             ledger.life().is_none()
@@ -201,7 +201,7 @@
 
     /// Puts evacuations into force that an entry told, unless those held were true later.
     pub(crate) fn hold_evacuations(self: &Arc<Self>, told: &Evacuations) {
-        if !self.evacuations.lock().update(told) {
+        if !self.evacuations.lock().merge_newer(told) {
             return;
         }
         let is_evacuated = self.change(|ledger, _| {
--- a/crates/agent/src/leased/port.rs
+++ b/crates/agent/src/leased/port.rs
@@ -4,14 +4,14 @@
     futures::future::BoxFuture,
     std::fmt,
     sycamorerail_decide::ledger::{LeaseAnswer, StartAnswer, StartOrder},
-    sycamorerail_wire::runs::{LifeId, TaskKey},
+    sycamorerail_wire::runs::{InstanceId, TaskKey},
 };
 
 /// On whose behalf a call is made.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Authority {
     /// The upstream's life for which the call is meant.
-    pub life: LifeId,
+    pub life: InstanceId,
     /// The upstream does nothing for a lower number than the highest it saw.
     pub fence: u64,
 }
--- a/crates/agent/src/main.rs
+++ b/crates/agent/src/main.rs
@@ -39,7 +39,7 @@
 }
 
 async fn serve(settings: AgentSettings) -> eyre::Result<Exit> {
-    logs::init(logs::level(&settings.log_level).unwrap_or(log::LevelFilter::Info));
+    logs::init(logs::parse_level(&settings.log_level).unwrap_or(log::LevelFilter::Info));
     invariant::set_fatal(settings.fatal_invariants);
     let page = metrics_page::install()?;
     let mut terminate = signal(SignalKind::terminate())?;
--- a/crates/agent/src/serve.rs
+++ b/crates/agent/src/serve.rs
@@ -93,11 +93,11 @@
             ToAgent::EntryStarted { address, incarnation } => {
                 event!(Info, "entry_started", peer = address, run = incarnation);
                 self.entries.started(core, address, incarnation);
-                Some(AgentReplyBody::Noted)
+                Some(AgentReplyBody::Acknowledged)
             }
             ToAgent::Evacuations(told) => {
                 self.session.take_evacuations(core, &told);
-                Some(AgentReplyBody::Noted)
+                Some(AgentReplyBody::Acknowledged)
             }
         }
     }
--- a/crates/agent/src/session.rs
+++ b/crates/agent/src/session.rs
@@ -111,13 +111,13 @@
     fn entry_holds<const N: usize>(&self, evacuations: [Option<&Evacuations>; N]) {
         let mut held = self.entry_evacuations.lock();
         for newer in evacuations.into_iter().flatten() {
-            held.update(newer);
+            held.merge_newer(newer);
         }
     }
 
     /// Whether the entry lacks evacuations that are in force here.
     fn lacks_evacuations(&self, core: &Core) -> bool {
-        core.evacuations.borrow().is_news_to(&self.entry_evacuations.lock())
+        core.evacuations.borrow().is_update_to(&self.entry_evacuations.lock())
     }
 
     /// Notes that the entry was sent the agent's load.
@@ -268,7 +268,7 @@
 }
 
 async fn beat(core: &Core, connection: &Connection) -> Result<EntryWelcome, SessionError> {
-    let beat = FromAgent::Beat { load: core.load(), config_mark: core.config_mark() };
+    let beat = FromAgent::Heartbeat { load: core.load(), config_mark: core.config_mark() };
     tell(core, connection, "beat", &beat).await
 }
 
--- a/crates/agent/tests/renewals.rs
+++ b/crates/agent/tests/renewals.rs
@@ -11,7 +11,7 @@
         ledger::{EndKind, Ended, LeaseAnswer, LedgerLimits, StartAnswer, StartOrder},
         links::LinkLimits,
     },
-    sycamorerail_wire::runs::{CallerId, LifeId, Room, TaskKey, UpstreamLife},
+    sycamorerail_wire::runs::{CallerJobId, InstanceId, Resources, TaskKey, UpstreamInstance},
     tokio::time::{sleep, timeout},
 };
 
@@ -47,7 +47,7 @@
         if acknowledged.len() > ANSWERED {
             return pending().boxed();
         }
-        let task = TaskKey { job: CallerId(1), step: 0, index: 0 };
+        let task = TaskKey { job: CallerJobId(1), step: 0, index: 0 };
         let end = Ended { number: END, task, run: 1, kind: EndKind::Done };
         let ended = if acknowledged.len() == 2 { vec![end] } else { Vec::new() };
         let answer =
@@ -68,11 +68,11 @@
         links: LinkLimits::default(),
     };
     let agent = Leased::start(settings, Box::new(upstream.clone()));
-    agent.announced(UpstreamLife {
-        id: LifeId::named("life"),
+    agent.announced(UpstreamInstance {
+        id: InstanceId::without_start("life"),
         order_fence: 0,
         pool: "desk".to_owned(),
-        capacity: Room { cpu_milli: 8_000, memory_mb: 100, accelerators: 0 },
+        capacity: Resources { cpu_milli: 8_000, memory_mb: 100, accelerators: 0 },
         labels: Vec::new(),
         leaving: false,
     });
--- a/crates/agent/tests/sessions.rs
+++ b/crates/agent/tests/sessions.rs
@@ -7,14 +7,14 @@
     support::{Cluster, FakeEntry, HOME, any_port, settings, start_agent, until},
     sycamorerail_wire::{
         ids::Incarnation,
-        keys::make_authority,
+        keys::generate_authority,
         message::{AgentReplyBody, ToAgent},
     },
 };
 
 #[tokio::test]
 async fn upstream_told() {
-    let authority = make_authority("test").unwrap();
+    let authority = generate_authority("test").unwrap();
     let entry = FakeEntry::start(&authority, HOME, any_port());
     let agent = start_agent(settings(&authority, vec![entry.address])).await;
     entry.connection().await;
--- a/crates/agent/tests/support/mod.rs
+++ b/crates/agent/tests/support/mod.rs
@@ -20,7 +20,7 @@
     sycamorerail_wire::{
         answer::{Payload, Reason},
         ids::{ContentHash, IdKey, Incarnation, JobId, OrganisationKey, TaskId},
-        keys::{PemPair, ProcessKeys, Role, issue, make_authority},
+        keys::{PemPair, ProcessKeys, Role, generate_authority, issue_certificate},
         message::{
             AgentHello, AgentReply, AgentReplyBody, ConfigMark, EntryWelcome, FromAgent,
             MemberList, Placement, ToAgent,
@@ -65,7 +65,7 @@
 
 impl FakeEntry {
     pub fn start(authority: &PemPair, incarnation: Incarnation, address: SocketAddr) -> Self {
-        let own = issue(authority, Role::Entry, "entry").unwrap();
+        let own = issue_certificate(authority, Role::Entry, "entry").unwrap();
         let keys = ProcessKeys::read(&authority.certificate_pem, &own).unwrap();
         let endpoint = session::open(address, &keys, SessionTiming::default()).unwrap();
         let welcome = EntryWelcome {
@@ -168,7 +168,7 @@
                 heard.hellos.lock().push(*hello);
                 *heard.connection.lock() = Some(connection.clone());
             }
-            FromAgent::Beat { .. } => drop(heard.beats.fetch_add(1, Ordering::AcqRel)),
+            FromAgent::Heartbeat { .. } => drop(heard.beats.fetch_add(1, Ordering::AcqRel)),
         }
     }
 }
@@ -189,7 +189,7 @@
 
     pub async fn start_with(slots: u16, change: impl FnOnce(&mut AgentSettings)) -> Self {
         invariant::set_fatal(true);
-        let authority = make_authority("test").unwrap();
+        let authority = generate_authority("test").unwrap();
         let entry = FakeEntry::start(&authority, HOME, any_port());
         let mut settings = settings(&authority, vec![entry.address]);
         change(&mut settings);
@@ -247,7 +247,7 @@
 }
 
 pub fn settings(authority: &PemPair, entries: Vec<SocketAddr>) -> AgentSettings {
-    let own = issue(authority, Role::Agent, "agent").unwrap();
+    let own = issue_certificate(authority, Role::Agent, "agent").unwrap();
     AgentSettings {
         name: "agent".to_owned(),
         data_centre: "regensburg".to_owned(),
--- a/crates/bench/src/layout.rs
+++ b/crates/bench/src/layout.rs
@@ -87,7 +87,7 @@
 
 impl<'a> Writer<'a> {
     fn new(scenario: &'a Scenario, dir: &'a Path, port_base: u16) -> eyre::Result<Self> {
-        let authority = keys::make_authority("bench")?;
+        let authority = keys::generate_authority("bench")?;
         write(dir, "keys/authority.pem", &authority.certificate_pem)?;
         let size = scenario.size();
         let mut ports = Ports { next: port_base };
@@ -243,7 +243,7 @@
     }
 
     fn keys(&self, role: keys::Role, name: &str) -> eyre::Result<Value> {
-        let pair = keys::issue(&self.authority, role, name)?;
+        let pair = keys::issue_certificate(&self.authority, role, name)?;
         let (certificate, key) = (format!("keys/{name}.pem"), format!("keys/{name}.key.pem"));
         write(self.dir, &certificate, &pair.certificate_pem)?;
         write(self.dir, &key, &pair.key_pem)?;
--- a/crates/bench/src/policy/agent.rs
+++ b/crates/bench/src/policy/agent.rs
@@ -9,7 +9,10 @@
     sycamorerail_decide::ledger::{LeaseAnswer, Ledger, LedgerLimits, StartOrder, is_news},
     sycamorerail_wire::{
         ids::Incarnation,
-        runs::{FromRunsAgent, LifeId, Room, RunReport, TaskKey, UpstreamLife, UpstreamLoad},
+        runs::{
+            FromRunsAgent, InstanceId, Resources, RunReport, TaskKey, UpstreamInstance,
+            UpstreamLoad,
+        },
     },
 };
 
@@ -72,7 +75,7 @@
     pub life: u64,
     /// Renewals that wait at the upstream.
     pub waiting: Vec<Renewal>,
-    capacity: Room,
+    capacity: Resources,
     links: Vec<Link>,
     /// Shortest time between two loads told on a link.
     load_pause: Micros,
@@ -89,7 +92,7 @@
             upstream: Upstream::new(speed),
             life: 0,
             waiting: Vec::new(),
-            capacity: Room { cpu_milli, memory_mb: MEMORY_MB, accelerators: 0 },
+            capacity: Resources { cpu_milli, memory_mb: MEMORY_MB, accelerators: 0 },
             links: vec![Link::default(); entries],
             load_pause,
             renewals: 0,
@@ -107,9 +110,9 @@
     }
 
     /// The upstream's present life.
-    pub fn life(&self) -> UpstreamLife {
-        UpstreamLife {
-            id: LifeId::named(&self.life.to_string()),
+    pub fn life(&self) -> UpstreamInstance {
+        UpstreamInstance {
+            id: InstanceId::without_start(&self.life.to_string()),
             order_fence: 0,
             pool: POOL.to_owned(),
             capacity: self.capacity,
--- a/crates/bench/src/policy/entry.rs
+++ b/crates/bench/src/policy/entry.rs
@@ -17,7 +17,7 @@
     },
     sycamorerail_wire::{
         ids::Incarnation,
-        runs::{CallerId, Room, TaskKey, UpstreamLife},
+        runs::{CallerJobId, Resources, TaskKey, UpstreamInstance},
     },
 };
 
@@ -60,7 +60,7 @@
     }
 
     /// An agent connects.
-    pub fn connect(&mut self, number: usize, life: UpstreamLife, now: Micros) {
+    pub fn connect(&mut self, number: usize, life: UpstreamInstance, now: Micros) {
         let (name, now_ms) = (number.to_string(), millis(now));
         let agent = self.dispatch.agent_connected(&name, Incarnation(1), None, now_ms);
         self.dispatch.agent_ready(agent, now_ms);
@@ -85,12 +85,12 @@
     ) -> Result<(), JobAnswer> {
         let step = StepRequest {
             count: u16::try_from(job.run_micros.len()).unwrap_or(u16::MAX),
-            need: Room { cpu_milli, memory_mb: 0, accelerators: 0 },
+            need: Resources { cpu_milli, memory_mb: 0, accelerators: 0 },
             run_ms: job.estimate_ms,
             ..StepRequest::default()
         };
         let request = JobRequest {
-            id: CallerId(number as u64),
+            id: CallerJobId(number as u64),
             kind: Arc::clone(kind),
             spec: String::new(),
             steps: vec![step],
--- a/crates/bench/src/policy/upstream.rs
+++ b/crates/bench/src/policy/upstream.rs
@@ -5,7 +5,7 @@
     super::clock::{Micros, millis},
     std::collections::BTreeMap,
     sycamorerail_decide::ledger::{EndKind, Ended, LeaseAnswer, StartAnswer, StartRefusal},
-    sycamorerail_wire::runs::{LifeId, TaskKey},
+    sycamorerail_wire::runs::{InstanceId, TaskKey},
 };
 
 /// A run under way.
@@ -122,7 +122,7 @@
     pub fn list(&mut self, acknowledged: u64, sent: Micros, now: Micros) -> LeaseAnswer {
         self.ended.retain(|ended| ended.number > acknowledged);
         LeaseAnswer {
-            life: LifeId::default(),
+            life: InstanceId::default(),
             fence: 0,
             sent_ms: millis(sent),
             clock_ms: millis(now),
--- a/crates/bench/src/policy/world/agents.rs
+++ b/crates/bench/src/policy/world/agents.rs
@@ -37,10 +37,10 @@
             ToRunsAgent::Withdraw(tasks) => {
                 tasks.into_iter().for_each(|task| ledger.withdraw(link.run, task));
             }
-            ToRunsAgent::Finish { job, give_up_in_ms } => {
+            ToRunsAgent::JobMostlyStarted { job, give_up_in_ms } => {
                 ledger.finish_job(link.run, job, give_up_in_ms, now_ms);
             }
-            ToRunsAgent::Beat { confirmed, .. } => {
+            ToRunsAgent::Heartbeat { confirmed, .. } => {
                 ledger.owner_heard(link.run, now_ms);
                 ledger.confirmed(link.run, confirmed);
             }
--- a/crates/bench/src/policy/world/entries.rs
+++ b/crates/bench/src/policy/world/entries.rs
@@ -22,7 +22,7 @@
         if let Err(answer) = submitted {
             let has_room = |agent: &ModelAgent| {
                 let load = agent.ledger.load(millis(self.clock.now()));
-                load.usable && load.capacity.less(&load.taken).cpu_milli >= cpu_milli
+                load.usable && load.capacity.minus(&load.taken).cpu_milli >= cpu_milli
             };
             self.notes[number].was_free = self.agents.iter().any(has_room);
             self.answered(number, answer);
@@ -74,7 +74,7 @@
                     self.tell(entry, agent, ToRunsAgent::Withdraw(tasks));
                 }
                 Command::Finish(agent, job, give_up_in_ms) => {
-                    self.tell(entry, agent, ToRunsAgent::Finish { job, give_up_in_ms });
+                    self.tell(entry, agent, ToRunsAgent::JobMostlyStarted { job, give_up_in_ms });
                 }
                 Command::Answer(job, answer) => {
                     if let Some(number) = self.entries[entry].jobs.remove(&job) {
@@ -120,7 +120,8 @@
         let entry = &self.entries[link.entry];
         let linked = entry.agents[&link.agent];
         let PoolSeen { agents, largest } = entry.dispatch.pool_of(linked.key);
-        let beat = ToRunsAgent::Beat { heard: 0, confirmed: linked.confirmed, agents, largest };
+        let beat =
+            ToRunsAgent::Heartbeat { heard: 0, confirmed: linked.confirmed, agents, largest };
         self.tell(link.entry, linked.key, beat);
         self.clock.after(BEAT, Event::Beat(link));
     }
--- a/crates/cli/src/commands/keys.rs
+++ b/crates/cli/src/commands/keys.rs
@@ -38,7 +38,7 @@
 
 fn authority(options: &KeysAuthority, config: &Config) -> eyre::Result<Report> {
     check_name("--cluster", &options.cluster)?;
-    let pair = keys::make_authority(&options.cluster).map_err(CliError::Keys)?;
+    let pair = keys::generate_authority(&options.cluster).map_err(CliError::Keys)?;
     write_pair(&options.dir, AUTHORITY, &pair, config)
 }
 
@@ -52,7 +52,8 @@
         certificate_pem: read(&certificate_path(&options.dir, AUTHORITY))?,
         key_pem: read(&key_path(&options.dir, AUTHORITY))?,
     };
-    let pair = keys::issue(&authority, options.role, &options.name).map_err(CliError::Keys)?;
+    let pair =
+        keys::issue_certificate(&authority, options.role, &options.name).map_err(CliError::Keys)?;
     write_pair(&options.dir, &options.name, &pair, config)
 }
 
--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -34,7 +34,7 @@
 
     /// A clock that leaps by what is added, for tests: timers do not.
     #[must_use]
-    pub fn start_with_leaps(leaps_ms: &'static AtomicU64) -> Self {
+    pub fn start_with_test_suspension(leaps_ms: &'static AtomicU64) -> Self {
         Self { made_up: Some(leaps_ms), ..Self::start() }
     }
 
--- a/crates/decide/src/dispatch/agents.rs
+++ b/crates/decide/src/dispatch/agents.rs
@@ -7,7 +7,7 @@
     std::collections::VecDeque,
     sycamorerail_wire::{
         ids::Incarnation,
-        runs::{PRIORITY_CLASSES, Room, UpstreamLife, UpstreamLoad},
+        runs::{PRIORITY_CLASSES, Resources, UpstreamInstance, UpstreamLoad},
     },
 };
 
@@ -31,7 +31,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Unseen {
     message: u64,
-    room: Room,
+    room: Resources,
     work_milli_ms: u64,
 }
 
@@ -59,7 +59,7 @@
     /// When it was last heard.
     pub heard_ms: u64,
     /// Its upstream, once it told.
-    pub life: Option<UpstreamLife>,
+    pub life: Option<UpstreamInstance>,
     /// Its last load.
     pub load: UpstreamLoad,
     /// Runs of an earlier run of the agent may go on until this time.
@@ -69,7 +69,7 @@
     /// What it has heard of us.
     pub echo: Echo,
     unseen: VecDeque<Unseen>,
-    unseen_room: Room,
+    unseen_room: Resources,
     unseen_milli_ms: u64,
 }
 
@@ -100,7 +100,7 @@
             cold_until_ms: None,
             echo: Echo::new(now_ms),
             unseen: VecDeque::new(),
-            unseen_room: Room::default(),
+            unseen_room: Resources::default(),
             unseen_milli_ms: 0,
         }
     }
@@ -115,7 +115,7 @@
         self.load.usable = false;
         self.cold_until_ms = None;
         self.unseen.clear();
-        self.unseen_room = Room::default();
+        self.unseen_room = Resources::default();
         self.unseen_milli_ms = 0;
     }
 
@@ -154,15 +154,15 @@
         self.load = load;
         self.echo.heard(heard);
         while let Some(first) = self.unseen.front().filter(|first| first.message <= heard) {
-            self.unseen_room = self.unseen_room.less(&first.room);
+            self.unseen_room = self.unseen_room.minus(&first.room);
             self.unseen_milli_ms -= first.work_milli_ms;
             self.unseen.pop_front();
         }
     }
 
     /// Notes that tasks were sent in this message.
-    pub fn sent(&mut self, message: u64, need: &Room, count: u32, run_ms: u32) {
-        let room = Room {
+    pub fn sent(&mut self, message: u64, need: &Resources, count: u32, run_ms: u32) {
+        let room = Resources {
             cpu_milli: need.cpu_milli.saturating_mul(count),
             memory_mb: need.memory_mb.saturating_mul(count),
             accelerators: need.accelerators.saturating_mul(count),
@@ -177,7 +177,7 @@
     #[must_use]
     pub fn free_cpu_milli(&self) -> u32 {
         let taken = self.load.taken.plus(&self.unseen_room);
-        self.load.capacity.less(&taken).cpu_milli
+        self.load.capacity.minus(&taken).cpu_milli
     }
 
     fn has_label(&self, label: &str) -> bool {
@@ -186,10 +186,10 @@
 
     /// Whether a task could ever run there.
     #[must_use]
-    pub fn suits(&self, pool: &str, need: &Room, required_label: Option<&str>) -> bool {
+    pub fn suits(&self, pool: &str, need: &Resources, required_label: Option<&str>) -> bool {
         let Some(life) = &self.life else { return false };
         life.pool == pool
-            && life.capacity.fits(need)
+            && life.capacity.covers(need)
             && required_label.is_none_or(|label| self.has_label(label))
     }
 
@@ -197,7 +197,7 @@
     #[must_use]
     pub fn expect(&self, planned: &Planned, asked: &Asked<'_>) -> Expected {
         let taken = self.load.taken.plus(&self.unseen_room).plus(&planned.room);
-        let free = self.load.capacity.less(&taken);
+        let free = self.load.capacity.minus(&taken);
         let slowness = u64::from(self.load.slowness_percent);
         let slowness = if slowness <= SOUND_PERCENT.into() { 100 } else { slowness };
         let near = asked.prefers.is_none_or(|label| self.has_label(label));
@@ -206,7 +206,7 @@
         let ahead_milli_ms = self.ahead_milli_ms(planned, asked.priority);
         // An upstream on trial offers less room than a task may take.
         let is_idle = taken.cpu_milli == 0;
-        let starts_at_once = ahead_milli_ms == 0 && (is_idle || free.fits(asked.need));
+        let starts_at_once = ahead_milli_ms == 0 && (is_idle || free.covers(asked.need));
         let wait_ms = if starts_at_once {
             0
         } else {
@@ -241,7 +241,7 @@
 
     /// What has to run until a task of this need fits: runs end evenly spread
     /// over what is left of them.
-    fn until_room_milli_ms(&self, need: &Room) -> u64 {
+    fn until_room_milli_ms(&self, need: &Resources) -> u64 {
         let taken = u64::from(self.load.taken.cpu_milli.max(1));
         self.load.running_milli_ms * u64::from(need.cpu_milli) / taken
     }
@@ -251,7 +251,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Asked<'a> {
     /// What it takes.
-    pub need: &'a Room,
+    pub need: &'a Resources,
     /// Its expected run time, in milliseconds.
     pub run_ms: u32,
     /// Lower goes first.
@@ -264,7 +264,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Planned {
     /// What they take.
-    pub room: Room,
+    pub room: Resources,
     /// Their work, in thousandths of a core times milliseconds.
     pub work_milli_ms: u64,
     /// How many they are.
@@ -273,7 +273,7 @@
 
 impl Planned {
     /// Adds a task.
-    pub fn add(&mut self, need: &Room, run_ms: u32) {
+    pub fn add(&mut self, need: &Resources, run_ms: u32) {
         self.room = self.room.plus(need);
         self.work_milli_ms += u64::from(need.cpu_milli) * u64::from(run_ms);
         self.count += 1;
--- a/crates/decide/src/dispatch/connections.rs
+++ b/crates/decide/src/dispatch/connections.rs
@@ -7,7 +7,8 @@
     sycamorerail_wire::{
         ids::Incarnation,
         runs::{
-            CallerId, Placement, Room, RunEvent, RunReport, TaskKey, UpstreamLife, UpstreamLoad,
+            CallerJobId, Resources, RunEvent, RunReport, StepPlacement, TaskKey, UpstreamInstance,
+            UpstreamLoad,
         },
     },
 };
@@ -133,7 +134,7 @@
     /// the connection that carried it.
     fn stop_what_is_over(&mut self, agent: AgentKey, held: &[(TaskKey, u32)]) {
         let jobs: BTreeSet<_> = held.iter().map(|(task, _)| task.job).collect();
-        let is_open = |job: &CallerId| {
+        let is_open = |job: &CallerJobId| {
             let job = self.find(*job).and_then(|key| self.jobs.get(key));
             job.is_some_and(|job| job.ending.is_none())
         };
@@ -164,7 +165,7 @@
     }
 
     /// An agent tells its upstream's life.
-    pub fn set_life(&mut self, key: AgentKey, life: UpstreamLife) {
+    pub fn set_life(&mut self, key: AgentKey, life: UpstreamInstance) {
         let capacity = life.capacity;
         if let Some(view) = self.agents.get_mut(key) {
             view.life = Some(life);
@@ -187,11 +188,11 @@
     }
 
     /// Some upstream of an agent's pool has so much, here or elsewhere.
-    pub fn set_largest(&mut self, key: AgentKey, room: Room) {
+    pub fn set_largest(&mut self, key: AgentKey, room: Resources) {
         let life = self.agents.get(key).and_then(|view| view.life.as_ref());
         let Some(life) = life else { return };
         let known = self.largest.entry(life.pool.clone()).or_default();
-        *known = known.most(&room);
+        *known = known.max_of_each(&room);
     }
 
     /// What this entry has of an agent's pool.
@@ -210,12 +211,12 @@
 
     /// The last known life of an agent's upstream.
     #[must_use]
-    pub fn life(&self, key: AgentKey) -> Option<&UpstreamLife> {
+    pub fn life(&self, key: AgentKey) -> Option<&UpstreamInstance> {
         self.agents.get(key)?.life.as_ref()
     }
 
     /// Counts a message to an agent, and what it places there.
-    pub fn message_sent(&mut self, key: AgentKey, placed: Option<&Placement>, now_ms: u64) {
+    pub fn message_sent(&mut self, key: AgentKey, placed: Option<&StepPlacement>, now_ms: u64) {
         let Some(view) = self.agents.get_mut(key) else { return };
         let message = view.echo.sent(now_ms);
         if let Some(placed) = placed {
--- a/crates/decide/src/dispatch/crashes.rs
+++ b/crates/decide/src/dispatch/crashes.rs
@@ -10,7 +10,7 @@
     std::collections::{HashMap, HashSet},
     sycamorerail_wire::{
         ids::Incarnation,
-        runs::{CallerId, TaskCrashes, TaskKey},
+        runs::{CallerJobId, TaskCrashes, TaskKey},
     },
 };
 
@@ -80,7 +80,7 @@
     /// What is known of a task, to be told.
     fn told_of(&self, task: TaskKey, now_ms: u64) -> impl Iterator<Item = TaskCrashes> {
         self.of(task).map(move |&AtAgent { agent, count, last_ms }| {
-            TaskCrashes::until(last_ms, (agent, task, count), now_ms)
+            TaskCrashes::from_last_crash(last_ms, (agent, task, count), now_ms)
         })
     }
 
@@ -96,7 +96,7 @@
         self.of(task).all(|crash| self.others_about(crash.last_ms, &met) <= MAX_OTHERS)
     }
 
-    fn agents_of(&self, job: CallerId) -> HashSet<Incarnation> {
+    fn agents_of(&self, job: CallerJobId) -> HashSet<Incarnation> {
         let of_job = self.0.iter().filter(|(task, _)| task.job == job);
         of_job.flat_map(|(_, known)| known).map(|crash| crash.agent).collect()
     }
@@ -119,7 +119,7 @@
         let mut suspects = Vec::new();
         for told in told {
             let &TaskCrashes { agent, task, crashes: count, .. } = told;
-            let last_ms = told.last_ms(now_ms);
+            let last_ms = told.last_crash_ms(now_ms);
             let is_news = self.crashes.learn(task, AtAgent { agent, count, last_ms });
             if is_news && self.crashes.count(task) >= SUSPECT_CRASHES {
                 suspects.extend(self.crashes.told_of(task, now_ms));
--- a/crates/decide/src/dispatch/mod.rs
+++ b/crates/decide/src/dispatch/mod.rs
@@ -41,7 +41,7 @@
     },
     sycamorerail_wire::{
         ids::Incarnation,
-        runs::{CallerId, Evacuations, Room, RunEvent, TaskKey},
+        runs::{CallerJobId, Evacuations, Resources, RunEvent, TaskKey},
     },
 };
 
@@ -72,14 +72,14 @@
 pub struct Dispatch {
     limits: DispatchLimits,
     jobs: SlotMap<JobKey, Job>,
-    by_id: HashMap<CallerId, JobKey>,
+    by_id: HashMap<CallerJobId, JobKey>,
     agents: SlotMap<AgentKey, AgentView>,
     by_name: HashMap<String, AgentKey>,
     /// Jobs with tasks to place.
     unplaced: BTreeSet<JobKey>,
     kinds: HashMap<String, KindRecord>,
     /// The most of each that an upstream has, by pool.
-    largest: HashMap<String, Room>,
+    largest: HashMap<String, Resources>,
     evacuations: Evacuations,
     /// Crashes of upstreams, by the task that ran there.
     crashes: Crashes,
@@ -133,7 +133,7 @@
 
     /// A job of this id that is not over.
     #[must_use]
-    pub fn find(&self, id: CallerId) -> Option<JobKey> {
+    pub fn find(&self, id: CallerJobId) -> Option<JobKey> {
         self.by_id.get(&id).copied()
     }
 
--- a/crates/decide/src/dispatch/place.rs
+++ b/crates/decide/src/dispatch/place.rs
@@ -9,7 +9,7 @@
         kinds::KindRecord,
     },
     std::collections::BTreeMap,
-    sycamorerail_wire::runs::{Placement, Room, TaskStart},
+    sycamorerail_wire::runs::{Resources, StepPlacement, TaskStart},
 };
 
 /// A task with the agent that is to have it.
@@ -75,7 +75,7 @@
         let mut of_pool = self.agents.values().filter_map(|agent| agent.life.as_ref());
         let known = of_pool.any(|life| life.pool == pool);
         let fits = |agent: &AgentView| agent.suits(pool, &step.need, None);
-        let elsewhere = self.largest.get(pool).is_some_and(|largest| largest.fits(&step.need));
+        let elsewhere = self.largest.get(pool).is_some_and(|largest| largest.covers(&step.need));
         known && !elsewhere && !self.agents.values().any(fits)
     }
 
@@ -84,7 +84,7 @@
         let pool = &*job.request.kind.pool;
         let linked = || self.agents.values().filter(|agent| agent.is_serving());
         let label = step.required_label.as_deref();
-        linked().any(|agent| agent.suits(pool, &Room::default(), None))
+        linked().any(|agent| agent.suits(pool, &Resources::default(), None))
             && !linked().any(|agent| agent.suits(pool, &step.need, label))
     }
 
@@ -167,11 +167,11 @@
         tasks: Vec<TaskStart>,
         suspect: bool,
         now_ms: u64,
-    ) -> Option<Placement> {
+    ) -> Option<StepPlacement> {
         let job = self.jobs.get(key)?;
         let wanted = &job.request.steps[step];
         let left = |at_ms: u64| u32::try_from(at_ms.saturating_sub(now_ms)).unwrap_or(u32::MAX);
-        Some(Placement {
+        Some(StepPlacement {
             job: job.request.id,
             step: u8::try_from(step).ok()?,
             spec: job.request.spec.clone(),
@@ -181,7 +181,7 @@
             priority: job.request.kind.priority,
             objective_in_ms: left(job.objective_ms),
             give_up_in_ms: left(job.end_by_ms()),
-            finishing: job.has_mostly_begun(),
+            job_mostly_started: job.has_mostly_begun(),
             suspect,
         })
     }
--- a/crates/decide/src/dispatch/types.rs
+++ b/crates/decide/src/dispatch/types.rs
@@ -3,7 +3,7 @@
 use {
     slotmap::new_key_type,
     std::sync::Arc,
-    sycamorerail_wire::runs::{CallerId, Placement, Room, TaskKey},
+    sycamorerail_wire::runs::{CallerJobId, Resources, StepPlacement, TaskKey},
 };
 
 new_key_type! {
@@ -19,7 +19,7 @@
     /// Agents that are linked to it.
     pub agents: u32,
     /// The most of each that an upstream of the pool has, here or elsewhere.
-    pub largest: Room,
+    pub largest: Resources,
 }
 
 /// Figures of the dispatch, from the settings.
@@ -70,7 +70,7 @@
     /// Its tasks.
     pub count: u16,
     /// What each takes.
-    pub need: Room,
+    pub need: Resources,
     /// Expected run time of each, in milliseconds.
     pub run_ms: u32,
     /// Steps that must be done before it, by number.
@@ -87,7 +87,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct JobRequest {
     /// The caller's id.
-    pub id: CallerId,
+    pub id: CallerJobId,
     /// Parameters of its kind.
     pub kind: Arc<KindParameters>,
     /// The caller's text for the upstream.
@@ -206,14 +206,14 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
     /// Send tasks to an agent.
-    Place(AgentKey, Placement),
+    Place(AgentKey, StepPlacement),
     /// Have an agent end a job.
-    Stop(AgentKey, CallerId),
+    Stop(AgentKey, CallerJobId),
     /// Have an agent hand tasks back that wait there.
     Withdraw(AgentKey, Vec<TaskKey>),
     /// Have an agent go on with what waits of a job that has begun; nobody waits for
     /// it after so many milliseconds.
-    Finish(AgentKey, CallerId, u32),
+    Finish(AgentKey, CallerJobId, u32),
     /// Answer whoever waits for the job.
     Answer(JobKey, JobAnswer),
 }
--- a/crates/decide/src/ledger/crash_log.rs
+++ b/crates/decide/src/ledger/crash_log.rs
@@ -45,7 +45,7 @@
     pub(super) fn learn(&mut self, told: &TaskCrashes, now_ms: u64) {
         let &TaskCrashes { agent, task, crashes, .. } = told;
         if crashes > self.known(Some(agent), task) {
-            self.replace(Some(agent), task, crashes, Some(told.last_ms(now_ms)));
+            self.replace(Some(agent), task, crashes, Some(told.last_crash_ms(now_ms)));
         }
     }
 
@@ -86,7 +86,7 @@
         let newer = self.noted.iter().filter(|noted| noted.number > number);
         let told = newer.map(|&Noted { agent, task, crashes, at_ms, .. }| {
             let last_ms = at_ms.unwrap_or(now_ms as i64);
-            TaskCrashes::until(last_ms, (agent.unwrap_or(own), task, crashes), now_ms)
+            TaskCrashes::from_last_crash(last_ms, (agent.unwrap_or(own), task, crashes), now_ms)
         });
         told.collect()
     }
--- a/crates/decide/src/ledger/lives.rs
+++ b/crates/decide/src/ledger/lives.rs
@@ -8,26 +8,26 @@
         Announced, LeaseAnswer, Ledger, LifeEnd, Phase, RunKey, SOUND_PERCENT, Withdrawn,
         order_fence::OrderFence,
     },
-    sycamorerail_wire::runs::{LifeId, NotStarted, RunEvent, UpstreamLife},
+    sycamorerail_wire::runs::{InstanceId, NotStarted, RunEvent, UpstreamInstance},
 };
 
 impl Ledger {
     /// What the upstream's present life announced.
     #[must_use]
-    pub fn life(&self) -> Option<&UpstreamLife> {
+    pub fn life(&self) -> Option<&UpstreamInstance> {
         self.life.as_ref()
     }
 
     /// The upstream's present life. It may be known before it has announced itself.
     #[must_use]
-    pub fn present(&self) -> Option<&LifeId> {
+    pub fn present(&self) -> Option<&InstanceId> {
         self.present.as_ref()
     }
 
     /// What the present life announced, once it has answered: what the next run of the
     /// agent is to know, with the fence that it has to be above.
     #[must_use]
-    pub fn proven_life(&self) -> Option<&UpstreamLife> {
+    pub fn proven_life(&self) -> Option<&UpstreamInstance> {
         self.life().filter(|_| self.is_fenced())
     }
 
@@ -36,13 +36,14 @@
     }
 
     /// Takes note of an announcement.
-    pub fn announced(&mut self, mut life: UpstreamLife, now_ms: u64) -> Announced {
-        life.id = life.id.or_present(self.present());
+    pub fn announced(&mut self, mut life: UpstreamInstance, now_ms: u64) -> Announced {
+        life.id = life.id.or_current(self.present());
         if self.present.as_ref() != Some(&life.id) && self.renewed_ms.is_some() {
             self.doubted = Some((life, now_ms));
             return Announced::Doubted;
         }
-        let is_other_pool = |known: &UpstreamLife| known.id == life.id && known.pool != life.pool;
+        let is_other_pool =
+            |known: &UpstreamInstance| known.id == life.id && known.pool != life.pool;
         if self.life.as_ref().is_some_and(is_other_pool) {
             return Announced::Ignored;
         }
@@ -51,7 +52,7 @@
 
     /// Takes note of the upstream's life. Runs on an earlier life are lost.
     /// Returns whether anything changed.
-    pub fn set_upstream(&mut self, mut life: UpstreamLife) -> bool {
+    pub fn set_upstream(&mut self, mut life: UpstreamInstance) -> bool {
         if self.present.as_ref() != Some(&life.id) {
             self.begin(&life.id);
         }
@@ -68,7 +69,7 @@
         true
     }
 
-    fn begin(&mut self, life: &LifeId) {
+    fn begin(&mut self, life: &InstanceId) {
         self.doubted = None;
         if self.present.is_some() {
             self.lose_upstream(LifeEnd::Crashed);
@@ -215,7 +216,7 @@
 
     /// Takes note of the fence that earlier runs of the agent had under the upstream's id,
     /// as it is known by the life that they knew last.
-    pub fn recall_fence(&mut self, known: &UpstreamLife) {
+    pub fn recall_fence(&mut self, known: &UpstreamInstance) {
         if self.present.as_ref().is_none_or(|present| present.id == known.id.id) {
             self.order_fence.recall(&known.id, known.order_fence);
             self.note_fence();
--- a/crates/decide/src/ledger/load.rs
+++ b/crates/decide/src/ledger/load.rs
@@ -3,7 +3,7 @@
 
 use {
     super::{Ledger, Phase, SOUND_PERCENT},
-    sycamorerail_wire::runs::{PRIORITY_CLASSES, Room, UpstreamLoad},
+    sycamorerail_wire::runs::{PRIORITY_CLASSES, Resources, UpstreamLoad},
 };
 
 /// Weight of the newest sample in moving averages, as one part of this many:
@@ -89,13 +89,13 @@
     }
 
     /// The room that entries may count on.
-    fn offered(&self) -> Room {
+    fn offered(&self) -> Resources {
         let capacity = self.life.as_ref().map(|life| life.capacity).unwrap_or_default();
         if self.slowness_percent <= TRIAL_PERCENT {
             return capacity;
         }
         let cpu_milli = capacity.cpu_milli * TRIAL_ROOM_PERCENT / 100;
-        Room { cpu_milli, ..capacity }
+        Resources { cpu_milli, ..capacity }
     }
 
     /// Work left in what runs, by the estimates. One that is overdue counts with a
--- a/crates/decide/src/ledger/mod.rs
+++ b/crates/decide/src/ledger/mod.rs
@@ -42,8 +42,8 @@
     sycamorerail_wire::{
         ids::Incarnation,
         runs::{
-            CallerId, LifeId, NotStarted, Placement, Room, RunEvent, RunReport, TaskCrashes,
-            TaskKey, UpstreamLife,
+            CallerJobId, InstanceId, NotStarted, Resources, RunEvent, RunReport, StepPlacement,
+            TaskCrashes, TaskKey, UpstreamInstance,
         },
     },
 };
@@ -111,7 +111,7 @@
     task: TaskKey,
     number: u32,
     spec: Arc<str>,
-    need: Room,
+    need: Resources,
     run_ms: u32,
     give_up_ms: u64,
     rank: Rank,
@@ -137,13 +137,13 @@
 pub struct Ledger {
     limits: LedgerLimits,
     /// The life that calls are meant for.
-    present: Option<LifeId>,
+    present: Option<InstanceId>,
     /// Answers to calls sent until then may be older than the present life.
     present_since_ms: u64,
     /// What the present life announced.
-    life: Option<UpstreamLife>,
+    life: Option<UpstreamInstance>,
     /// Another life that was announced while the present one answered, and when.
-    doubted: Option<(UpstreamLife, /* since_ms */ u64)>,
+    doubted: Option<(UpstreamInstance, /* since_ms */ u64)>,
     /// When the present life's id was withdrawn, until an answer shows that it is there.
     withdrawn_ms: Option<u64>,
     order_fence: OrderFence,
@@ -163,7 +163,7 @@
     runs: SlotMap<RunKey, Run>,
     by_task: HashMap<TaskKey, RunKey>,
     waiting: BTreeSet<(Rank, RunKey)>,
-    taken: Room,
+    taken: Resources,
     ordered: usize,
     arrivals: u64,
     owners: Owners,
@@ -200,7 +200,7 @@
             runs: SlotMap::with_key(),
             by_task: HashMap::new(),
             waiting: BTreeSet::new(),
-            taken: Room::default(),
+            taken: Resources::default(),
             ordered: 0,
             arrivals: 0,
             owners: Owners::default(),
@@ -220,7 +220,7 @@
     /// What runs goes on; room comes back as it ends.
     fn drop_too_large(&mut self) {
         let Some(capacity) = self.life.as_ref().map(|life| life.capacity) else { return };
-        let is_too_large = |key: &RunKey| !capacity.fits(&self.runs[*key].need);
+        let is_too_large = |key: &RunKey| !capacity.covers(&self.runs[*key].need);
         let keys: Vec<_> = self.waiting.iter().map(|&(_, key)| key).filter(is_too_large).collect();
         for key in keys {
             self.settle(key, RunEvent::NotStarted(NotStarted::NoRoom));
@@ -326,7 +326,7 @@
     ///
     /// Nothing is taken of an entry that was not heard lately: after a pause of this VM
     /// orders from before it are read that the entry has placed elsewhere since.
-    pub fn place(&mut self, owner: Incarnation, placement: Placement, now_ms: u64) {
+    pub fn place(&mut self, owner: Incarnation, placement: StepPlacement, now_ms: u64) {
         let spec: Arc<str> = placement.spec.into();
         let objective_ms = now_ms + u64::from(placement.objective_in_ms);
         let is_fresh = self.owners.is_fresh(owner, now_ms, self.limits.owner_silence_ms);
@@ -342,7 +342,7 @@
                 give_up_ms: now_ms + u64::from(placement.give_up_in_ms),
                 rank: Rank {
                     is_late: false,
-                    is_beginning: !placement.finishing,
+                    is_beginning: !placement.job_mostly_started,
                     start_by_ms: objective_ms.saturating_sub(placement.run_ms.into()),
                     priority: placement.priority,
                     arrival: self.arrivals,
@@ -370,7 +370,7 @@
             Some(_) if !is_fresh => Some(NotStarted::Stale),
             Some(_) if self.is_leaving() || self.draining => Some(NotStarted::Leaving),
             Some(_) if self.is_evacuated => Some(NotStarted::Evacuated),
-            Some(life) if !life.capacity.fits(&run.need) => Some(NotStarted::NoRoom),
+            Some(life) if !life.capacity.covers(&run.need) => Some(NotStarted::NoRoom),
             Some(_) => None,
         };
         if let Some(why) = refusal {
@@ -383,7 +383,7 @@
     }
 
     /// Starts nothing more of an entry's job and stops what runs of it.
-    pub fn stop_job(&mut self, owner: Incarnation, job: CallerId) {
+    pub fn stop_job(&mut self, owner: Incarnation, job: CallerJobId) {
         let of_job = |run: &Run| run.owner == owner && run.task.job == job;
         let keys: Vec<_> =
             self.runs.iter().filter(|(_, run)| of_job(run)).map(|(key, _)| key).collect();
@@ -397,7 +397,7 @@
     pub fn finish_job(
         &mut self,
         owner: Incarnation,
-        job: CallerId,
+        job: CallerJobId,
         give_up_in_ms: u32,
         now_ms: u64,
     ) {
@@ -441,9 +441,9 @@
         }
         self.sort_out(now_ms);
         let life = self.life.as_ref()?;
-        let free = life.capacity.less(&self.taken);
+        let free = life.capacity.minus(&self.taken);
         let ready = |run: &Run| {
-            free.fits(&run.need)
+            free.covers(&run.need)
                 && !(run.suspect && self.has_active_suspect())
                 && self.owners.is_fresh(run.owner, now_ms, self.limits.owner_silence_ms)
         };
@@ -586,7 +586,7 @@
         if run.phase == Phase::Waiting {
             self.waiting.remove(&(run.rank, key));
         } else {
-            self.taken = self.taken.less(&run.need);
+            self.taken = self.taken.minus(&run.need);
         }
         self.report(&run, event);
     }
--- a/crates/decide/src/ledger/order_fence.rs
+++ b/crates/decide/src/ledger/order_fence.rs
@@ -1,6 +1,6 @@
 //! The number by which an upstream tells its agent's orders from older ones.
 
-use sycamorerail_wire::runs::LifeId;
+use sycamorerail_wire::runs::InstanceId;
 
 /// All readers of JSON are exact up to this number.
 const MAX_NUMBER: u64 = 1 << 53;
@@ -19,7 +19,7 @@
     number: u64,
     /// Latest start among the lives known under the id.
     latest_start_unix_ms: u64,
-    taken_at: Option<LifeId>,
+    taken_at: Option<InstanceId>,
     /// In a row.
     refusals: u32,
 }
@@ -30,19 +30,19 @@
     }
 
     /// The life for which it was last taken.
-    pub(super) fn taken_at(&self) -> Option<&LifeId> {
+    pub(super) fn taken_at(&self) -> Option<&InstanceId> {
         self.taken_at.as_ref()
     }
 
     /// A life under the id is known, perhaps from an earlier agent.
-    pub(super) fn learn(&mut self, life: &LifeId) {
+    pub(super) fn learn(&mut self, life: &InstanceId) {
         let start_unix_ms = life.started_unix_ms.unwrap_or(0);
         self.latest_start_unix_ms = self.latest_start_unix_ms.max(start_unix_ms);
     }
 
     /// This number was in use under the id. Unless it is this run's own, an earlier run of
     /// the agent had it: orders from now on are above it.
-    pub(super) fn recall(&mut self, life: &LifeId, number: u64) {
+    pub(super) fn recall(&mut self, life: &InstanceId, number: u64) {
         self.learn(life);
         if number > self.number && number < MAX_NUMBER {
             self.number = if self.taken_at.is_some() { number + 1 } else { number };
@@ -53,7 +53,7 @@
     ///
     /// Where the time of day has gone back, an earlier agent's number may be higher than a
     /// fresh one, by no more than the earlier life lasted: the double is above it.
-    pub(super) fn take(&mut self, life: &LifeId, clock_ms: u64) {
+    pub(super) fn take(&mut self, life: &InstanceId, clock_ms: u64) {
         let has_gone_back = life.started_unix_ms.unwrap_or(0) < self.latest_start_unix_ms;
         if has_gone_back && self.taken_at.is_none() {
             self.raise(self.latest_start_unix_ms.saturating_mul(2));
@@ -65,7 +65,7 @@
 
     /// An order with this number was refused. A second refusal in a row means that a fresh
     /// number is not enough: an earlier life began at a later time of day.
-    pub(super) fn refused(&mut self, number: u64, life: &LifeId, clock_ms: u64) {
+    pub(super) fn refused(&mut self, number: u64, life: &InstanceId, clock_ms: u64) {
         if number < self.number {
             return;
         }
@@ -84,6 +84,6 @@
     }
 }
 
-fn fresh(life: &LifeId, clock_ms: u64) -> u64 {
+fn fresh(life: &InstanceId, clock_ms: u64) -> u64 {
     life.started_unix_ms.unwrap_or(0).saturating_add(clock_ms).saturating_add(1)
 }
--- a/crates/decide/src/ledger/types.rs
+++ b/crates/decide/src/ledger/types.rs
@@ -4,7 +4,7 @@
     std::sync::Arc,
     sycamorerail_wire::{
         ids::Incarnation,
-        runs::{LifeId, Room, TaskKey},
+        runs::{InstanceId, Resources, TaskKey},
     },
 };
 
@@ -145,7 +145,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LeaseAnswer {
     /// The life that answered.
-    pub life: LifeId,
+    pub life: InstanceId,
     /// Fence of the renewal.
     pub fence: u64,
     /// When the renewal was sent.
@@ -170,5 +170,5 @@
     /// What happened.
     pub event: sycamorerail_wire::runs::RunEvent,
     /// Room taken after it.
-    pub taken: Room,
+    pub taken: Resources,
 }
--- a/crates/decide/tests/cold.rs
+++ b/crates/decide/tests/cold.rs
@@ -2,18 +2,18 @@
 
 use {
     sycamorerail_decide::ledger::{Ledger, LedgerLimits},
-    sycamorerail_wire::runs::{LifeId, Room, UpstreamLife},
+    sycamorerail_wire::runs::{InstanceId, Resources, UpstreamInstance},
 };
 
-fn life(id: &LifeId) -> UpstreamLife {
-    let capacity = Room { cpu_milli: 32_000, memory_mb: 1_000, accelerators: 0 };
+fn life(id: &InstanceId) -> UpstreamInstance {
+    let capacity = Resources { cpu_milli: 32_000, memory_mb: 1_000, accelerators: 0 };
     let pool = "desk".to_owned();
     let (id, labels) = (id.clone(), Vec::new());
-    UpstreamLife { id, order_fence: 0, pool, capacity, labels, leaving: false }
+    UpstreamInstance { id, order_fence: 0, pool, capacity, labels, leaving: false }
 }
 
-fn started(started_unix_ms: u64) -> LifeId {
-    LifeId { id: "a".to_owned(), started_unix_ms: Some(started_unix_ms) }
+fn started(started_unix_ms: u64) -> InstanceId {
+    InstanceId { id: "a".to_owned(), started_unix_ms: Some(started_unix_ms) }
 }
 
 fn ledger() -> Ledger {
@@ -57,6 +57,6 @@
 #[test]
 fn a_life_that_does_not_tell_its_start_is_known_by_its_id() {
     let mut ledger = ledger();
-    ledger.announced_cold(LifeId::named("a"), 3_000, 100);
+    ledger.announced_cold(InstanceId::without_start("a"), 3_000, 100);
     assert_eq!(ledger.cold_until_ms(100), Some(3_100));
 }
--- a/crates/decide/tests/crashes.rs
+++ b/crates/decide/tests/crashes.rs
@@ -17,18 +17,18 @@
     sycamorerail_wire::{
         ids::Incarnation,
         runs::{
-            CallerId, LifeId, Placement, Room, RunEvent, RunReport, TaskCrashes, TaskKey,
-            TaskStart, UpstreamLife, UpstreamLoad,
+            CallerJobId, InstanceId, Resources, RunEvent, RunReport, StepPlacement, TaskCrashes,
+            TaskKey, TaskStart, UpstreamInstance, UpstreamLoad,
         },
     },
 };
 
 const ENTRY: Incarnation = Incarnation(7);
-const CAPACITY: Room = Room { cpu_milli: 32_000, memory_mb: 1_000, accelerators: 0 };
-const NEED: Room = Room { cpu_milli: 1_000, memory_mb: 10, accelerators: 0 };
+const CAPACITY: Resources = Resources { cpu_milli: 32_000, memory_mb: 1_000, accelerators: 0 };
+const NEED: Resources = Resources { cpu_milli: 1_000, memory_mb: 10, accelerators: 0 };
 const TASKS: u16 = 4;
 /// The job that tests are about.
-const JOB: CallerId = CallerId(1);
+const JOB: CallerJobId = CallerJobId(1);
 /// Crashes of upstreams under one task, after which it is never started again.
 const MOST_CRASHES: u32 = 3;
 /// Upstreams that are lost in a second where they are lost by dozens.
@@ -36,9 +36,9 @@
 /// A job is answered within this of its last crash, in milliseconds.
 const JUDGED_MS: u64 = 300;
 
-fn life(id: &str, leaving: bool) -> UpstreamLife {
-    let (id, pool) = (LifeId::named(id), "desk".to_owned());
-    UpstreamLife { id, order_fence: 0, pool, capacity: CAPACITY, labels: Vec::new(), leaving }
+fn life(id: &str, leaving: bool) -> UpstreamInstance {
+    let (id, pool) = (InstanceId::without_start(id), "desk".to_owned());
+    UpstreamInstance { id, order_fence: 0, pool, capacity: CAPACITY, labels: Vec::new(), leaving }
 }
 
 fn task(index: u16) -> TaskKey {
@@ -51,14 +51,14 @@
     ledger.set_upstream(life("a", false));
     ledger.owner_heard(ENTRY, 1);
     let answer = LeaseAnswer {
-        life: LifeId::named("a"),
+        life: InstanceId::without_start("a"),
         sent_ms: 1,
         clock_ms: 50_001,
         ..LeaseAnswer::default()
     };
     ledger.renewed(&answer, 1);
-    let placement = Placement {
-        job: CallerId(1),
+    let placement = StepPlacement {
+        job: CallerJobId(1),
         step: 0,
         spec: "spec".to_owned(),
         tasks: vec![TaskStart { index: 0, run: 1 }],
@@ -67,7 +67,7 @@
         priority: 0,
         objective_in_ms: 400,
         give_up_in_ms: 2_000,
-        finishing: false,
+        job_mostly_started: false,
         suspect: false,
     };
     ledger.place(ENTRY, placement, 2);
@@ -122,7 +122,7 @@
     (dispatch, agents)
 }
 
-fn request(id: CallerId, count: u16, now_ms: u64) -> JobRequest {
+fn request(id: CallerJobId, count: u16, now_ms: u64) -> JobRequest {
     let kind = KindParameters {
         name: "reach-check".to_owned(),
         pool: "desk".to_owned(),
@@ -155,8 +155,8 @@
     at_agents: HashMap<(AgentKey, TaskKey), (u8, u64)>,
     down: HashSet<AgentKey>,
     reports: u64,
-    jobs: HashMap<JobKey, CallerId>,
-    answers: HashMap<CallerId, JobAnswer>,
+    jobs: HashMap<JobKey, CallerJobId>,
+    answers: HashMap<CallerJobId, JobAnswer>,
 }
 
 impl Site {
@@ -187,7 +187,7 @@
         site
     }
 
-    fn submit(&mut self, id: CallerId, count: u16) {
+    fn submit(&mut self, id: CallerJobId, count: u16) {
         match self.dispatch.submit(request(id, count, self.now_ms), self.now_ms) {
             Ok(key) => drop(self.jobs.insert(key, id)),
             Err(answer) => drop(self.answers.insert(id, answer)),
@@ -197,7 +197,7 @@
 
     fn report(&mut self, agent: AgentKey, reports: &[RunReport], usable: bool) {
         let here = self.placed.values().filter(|(at, _)| *at == agent).count() as u32;
-        let taken = Room { cpu_milli: here * NEED.cpu_milli, ..Room::default() };
+        let taken = Resources { cpu_milli: here * NEED.cpu_milli, ..Resources::default() };
         let load = UpstreamLoad {
             usable,
             capacity: CAPACITY,
@@ -326,7 +326,7 @@
         }
     }
 
-    fn stop(&mut self, job: CallerId) {
+    fn stop(&mut self, job: CallerJobId) {
         let mut here: Vec<_> = self.placed.keys().filter(|task| task.job == job).copied().collect();
         here.sort_unstable();
         here.into_iter().for_each(|task| self.tell(task, RunEvent::Stopped));
@@ -533,7 +533,7 @@
     ) {
         let mut site = Site::new(8);
         for number in 0..innocent {
-            site.submit(CallerId(100 + number), tasks);
+            site.submit(CallerJobId(100 + number), tasks);
         }
         site.submit(JOB, 1);
         for wait_ms in waits_ms {
@@ -560,7 +560,7 @@
     ) {
         let mut site = Site::new(order.len());
         for number in 0..40 {
-            site.submit(CallerId(number), TASKS);
+            site.submit(CallerJobId(number), TASKS);
         }
         let mut up: Vec<_> = order.iter().map(|&number| site.agents[number]).collect();
         for _ in 0..LOST_IN_A_SECOND {
--- a/crates/decide/tests/dispatch.rs
+++ b/crates/decide/tests/dispatch.rs
@@ -10,13 +10,13 @@
     sycamorerail_wire::{
         ids::Incarnation,
         runs::{
-            CallerId, LifeId, NotStarted, Placement, Room, RunEvent, RunReport, TaskKey,
-            UpstreamLife, UpstreamLoad,
+            CallerJobId, InstanceId, NotStarted, Resources, RunEvent, RunReport, StepPlacement,
+            TaskKey, UpstreamInstance, UpstreamLoad,
         },
     },
 };
 
-const CAPACITY: Room = Room { cpu_milli: 10_000, memory_mb: 1_000, accelerators: 0 };
+const CAPACITY: Resources = Resources { cpu_milli: 10_000, memory_mb: 1_000, accelerators: 0 };
 
 struct Site {
     dispatch: Dispatch,
@@ -28,15 +28,15 @@
     UpstreamLoad {
         usable: true,
         capacity: CAPACITY,
-        taken: Room { cpu_milli: taken_milli, memory_mb: 0, accelerators: 0 },
+        taken: Resources { cpu_milli: taken_milli, memory_mb: 0, accelerators: 0 },
         slowness_percent: 100,
         ..UpstreamLoad::default()
     }
 }
 
-fn life(labels: &[&str]) -> UpstreamLife {
-    UpstreamLife {
-        id: LifeId::named("life"),
+fn life(labels: &[&str]) -> UpstreamInstance {
+    UpstreamInstance {
+        id: InstanceId::without_start("life"),
         order_fence: 0,
         pool: "desk".to_owned(),
         capacity: CAPACITY,
@@ -59,7 +59,7 @@
 fn step(count: u16) -> StepRequest {
     StepRequest {
         count,
-        need: Room { cpu_milli: 3_000, memory_mb: 10, accelerators: 0 },
+        need: Resources { cpu_milli: 3_000, memory_mb: 10, accelerators: 0 },
         run_ms: 100,
         ..StepRequest::default()
     }
@@ -67,7 +67,7 @@
 
 fn job(id: u64, steps: Vec<StepRequest>) -> JobRequest {
     JobRequest {
-        id: CallerId(id),
+        id: CallerJobId(id),
         kind: kind(),
         spec: "spec".to_owned(),
         steps,
@@ -77,7 +77,7 @@
 }
 
 fn task(job: u64, step: u8, index: u16) -> TaskKey {
-    TaskKey { job: CallerId(job), step, index }
+    TaskKey { job: CallerJobId(job), step, index }
 }
 
 impl Site {
@@ -126,7 +126,7 @@
         self.dispatch.tick(now_ms);
     }
 
-    fn placements(&mut self) -> Vec<(AgentKey, Placement)> {
+    fn placements(&mut self) -> Vec<(AgentKey, StepPlacement)> {
         let placed =
             self.dispatch.take_commands().into_iter().filter_map(|command| match command {
                 Command::Place(agent, placement) => Some((agent, placement)),
@@ -243,7 +243,7 @@
     let key = site.submit(job(1, vec![step(1)]));
     site.dispatch.take_commands();
     site.dispatch.cancel(key);
-    assert_eq!(site.dispatch.take_commands(), [Command::Stop(agents[0], CallerId(1))]);
+    assert_eq!(site.dispatch.take_commands(), [Command::Stop(agents[0], CallerJobId(1))]);
     let withdrawn = RunEvent::NotStarted(NotStarted::Withdrawn);
     site.tell(agents[0], task(1, 0, 0), 1, withdrawn);
     let answer = site.answers().remove(0);
@@ -682,12 +682,12 @@
     assert_eq!(finish(&mut site), []);
     site.tell(agents[0], task(1, 0, 1), 1, RunEvent::Started);
     // It is given up 630 ms after it came, by 100 + 630.
-    let told = Command::Finish(agents[0], CallerId(1), 630 - 40);
+    let told = Command::Finish(agents[0], CallerJobId(1), 630 - 40);
     assert_eq!(finish(&mut site), [told]);
     assert_eq!(finish(&mut site), [], "once");
     // What comes back is placed as the last of its job.
     site.tell(agents[0], task(1, 0, 2), 1, RunEvent::NotStarted(NotStarted::Refused));
-    assert!(site.placements()[0].1.finishing);
+    assert!(site.placements()[0].1.job_mostly_started);
 }
 
 /// A copy of a job that ran for another entry was placed at its agent every millisecond.
@@ -721,7 +721,7 @@
         site.dispatch.agent_ready(agents[0], site.now_ms);
         site.dispatch.take_commands()
     };
-    let stop = Command::Stop(agents[0], CallerId(1));
+    let stop = Command::Stop(agents[0], CallerJobId(1));
     assert_eq!(connect(&mut site), [], "it is not over");
     site.dispatch.cancel(key);
     assert_eq!(connect(&mut site), std::slice::from_ref(&stop), "it is being ended");
@@ -815,7 +815,7 @@
     site.tick_at(stops_ms - 1, &agents);
     assert_eq!(site.dispatch.take_commands(), [], "it may end in time");
     site.tick_at(stops_ms, &agents);
-    let stop = Command::Stop(agents[0], CallerId(1));
+    let stop = Command::Stop(agents[0], CallerJobId(1));
     assert_eq!(site.dispatch.take_commands(), [stop]);
     site.tell(agents[0], task(1, 0, 0), 1, RunEvent::Stopped);
     assert_eq!(site.answers(), [JobAnswer::Unknown { why: GiveUp::Stopping }]);
--- a/crates/decide/tests/dispatch_links.rs
+++ b/crates/decide/tests/dispatch_links.rs
@@ -9,12 +9,12 @@
     },
     sycamorerail_wire::{
         ids::Incarnation,
-        runs::{CallerId, LifeId, Room, UpstreamLife, UpstreamLoad},
+        runs::{CallerJobId, InstanceId, Resources, UpstreamInstance, UpstreamLoad},
     },
 };
 
-const CAPACITY: Room = Room { cpu_milli: 10_000, memory_mb: 1_000, accelerators: 0 };
-const LARGER: Room = Room { cpu_milli: 15_000, memory_mb: 1_000, accelerators: 0 };
+const CAPACITY: Resources = Resources { cpu_milli: 10_000, memory_mb: 1_000, accelerators: 0 };
+const LARGER: Resources = Resources { cpu_milli: 15_000, memory_mb: 1_000, accelerators: 0 };
 const NOW_MS: u64 = 100;
 
 /// An entry with so many agents whose upstreams are free.
@@ -24,8 +24,8 @@
         let name = format!("agent-{number}");
         let agent = dispatch.agent_connected(&name, Incarnation(1), None, NOW_MS);
         dispatch.agent_ready(agent, NOW_MS);
-        let life = UpstreamLife {
-            id: LifeId::named(&name),
+        let life = UpstreamInstance {
+            id: InstanceId::without_start(&name),
             order_fence: 0,
             pool: "desk".to_owned(),
             capacity: CAPACITY,
@@ -48,7 +48,7 @@
 
 fn job(number: u64, cpu_milli: u32, label: Option<&str>) -> JobRequest {
     JobRequest {
-        id: CallerId(number),
+        id: CallerJobId(number),
         kind: Arc::new(KindParameters {
             name: "kind".to_owned(),
             pool: "desk".to_owned(),
@@ -60,7 +60,7 @@
         spec: String::new(),
         steps: vec![StepRequest {
             count: 1,
-            need: Room { cpu_milli, memory_mb: 1, accelerators: 0 },
+            need: Resources { cpu_milli, memory_mb: 1, accelerators: 0 },
             run_ms: 100,
             required_label: label.map(str::to_owned),
             ..StepRequest::default()
--- a/crates/decide/tests/evacuation.rs
+++ b/crates/decide/tests/evacuation.rs
@@ -13,15 +13,15 @@
     sycamorerail_wire::{
         ids::Incarnation,
         runs::{
-            CallerId, Evacuations, LifeId, NotStarted, Placement, Room, RunEvent, RunReport,
-            TaskKey, TaskStart, UpstreamLife, UpstreamLoad,
+            CallerJobId, Evacuations, InstanceId, NotStarted, Resources, RunEvent, RunReport,
+            StepPlacement, TaskKey, TaskStart, UpstreamInstance, UpstreamLoad,
         },
     },
 };
 
 const ENTRY: Incarnation = Incarnation(7);
-const CAPACITY: Room = Room { cpu_milli: 10_000, memory_mb: 1_000, accelerators: 0 };
-const NEED: Room = Room { cpu_milli: 4_000, memory_mb: 10, accelerators: 0 };
+const CAPACITY: Resources = Resources { cpu_milli: 10_000, memory_mb: 1_000, accelerators: 0 };
+const NEED: Resources = Resources { cpu_milli: 4_000, memory_mb: 10, accelerators: 0 };
 const RUN_MS: u32 = 100;
 
 fn evacuations(revision: u64, data_centres: &[&str]) -> Evacuations {
@@ -29,9 +29,9 @@
     Evacuations { revision, data_centres }
 }
 
-fn life() -> UpstreamLife {
-    UpstreamLife {
-        id: LifeId::named("life"),
+fn life() -> UpstreamInstance {
+    UpstreamInstance {
+        id: InstanceId::without_start("life"),
         order_fence: 0,
         pool: "desk".to_owned(),
         capacity: CAPACITY,
@@ -51,7 +51,7 @@
     };
     let step = StepRequest { count, need: NEED, run_ms: RUN_MS, ..StepRequest::default() };
     JobRequest {
-        id: CallerId(id),
+        id: CallerJobId(id),
         kind: Arc::new(kind),
         spec: "spec".to_owned(),
         steps: vec![step],
@@ -86,7 +86,7 @@
     dispatch.report(agent, reports, load, u64::MAX, now_ms);
 }
 
-fn hand_back(dispatch: &mut Dispatch, agent: AgentKey, placement: &Placement, now_ms: u64) {
+fn hand_back(dispatch: &mut Dispatch, agent: AgentKey, placement: &StepPlacement, now_ms: u64) {
     let event = RunEvent::NotStarted(NotStarted::Evacuated);
     let reports: Vec<_> = placement
         .tasks
@@ -99,7 +99,7 @@
     report(dispatch, agent, &reports, now_ms);
 }
 
-fn placements(dispatch: &mut Dispatch) -> Vec<(AgentKey, Placement)> {
+fn placements(dispatch: &mut Dispatch) -> Vec<(AgentKey, StepPlacement)> {
     let placed = dispatch.take_commands().into_iter().filter_map(|command| match command {
         Command::Place(agent, placement) => Some((agent, placement)),
         _ => None,
@@ -198,10 +198,10 @@
 #[test]
 fn a_list_that_was_true_earlier_is_not_taken() {
     let mut held = evacuations(7, &["north"]);
-    assert!(!held.update(&evacuations(6, &[])));
-    assert!(!held.update(&evacuations(9, &["north"])), "it says the same");
-    assert!(!held.update(&evacuations(8, &[])), "the same was true later");
-    assert!(held.update(&evacuations(10, &[])));
+    assert!(!held.merge_newer(&evacuations(6, &[])));
+    assert!(!held.merge_newer(&evacuations(9, &["north"])), "it says the same");
+    assert!(!held.merge_newer(&evacuations(8, &[])), "the same was true later");
+    assert!(held.merge_newer(&evacuations(10, &[])));
     assert_eq!(held, evacuations(10, &[]));
 }
 
@@ -217,9 +217,9 @@
     ledger
 }
 
-fn placement(job: u64, count: u16) -> Placement {
-    Placement {
-        job: CallerId(job),
+fn placement(job: u64, count: u16) -> StepPlacement {
+    StepPlacement {
+        job: CallerJobId(job),
         step: 0,
         spec: "spec".to_owned(),
         tasks: (0..count).map(|index| TaskStart { index, run: 1 }).collect(),
@@ -228,7 +228,7 @@
         priority: 1,
         objective_in_ms: 400,
         give_up_in_ms: 2_000,
-        finishing: false,
+        job_mostly_started: false,
         suspect: false,
     }
 }
@@ -258,7 +258,7 @@
     let told = events(&ledger);
     assert_eq!(told, [(0, RunEvent::Started), (1, back), (2, back), (3, back)]);
     assert!(ledger.stops_due(4).is_empty(), "what runs goes on");
-    let task = TaskKey { job: CallerId(1), step: 0, index: 0 };
+    let task = TaskKey { job: CallerJobId(1), step: 0, index: 0 };
     let done = Ended { number: 1, task, run: 1, kind: EndKind::Done };
     renew(&mut ledger, 103, &[], &[done]);
     assert_eq!(events(&ledger).last(), Some(&(0, RunEvent::Done { run_ms: 100 })));
@@ -275,5 +275,5 @@
     assert!(ledger.set_evacuated(false));
     ledger.place(ENTRY, placement(3, 1), 6);
     assert!(ledger.load(6).usable);
-    assert_eq!(ledger.next_start(6).unwrap().task.job, CallerId(3));
+    assert_eq!(ledger.next_start(6).unwrap().task.job, CallerJobId(3));
 }
--- a/crates/decide/tests/ledger.rs
+++ b/crates/decide/tests/ledger.rs
@@ -7,8 +7,8 @@
     sycamorerail_wire::{
         ids::Incarnation,
         runs::{
-            CallerId, LifeId, NotStarted, Placement, Room, RunEvent, TaskKey, TaskStart,
-            UpstreamLife,
+            CallerJobId, InstanceId, NotStarted, Resources, RunEvent, StepPlacement, TaskKey,
+            TaskStart, UpstreamInstance,
         },
     },
 };
@@ -18,35 +18,35 @@
 /// The upstream's clock when ours is at 0.
 const CLOCK_MS: u64 = 50_000;
 
-fn life(id: &str) -> UpstreamLife {
-    UpstreamLife {
-        id: LifeId::named(id),
+fn life(id: &str) -> UpstreamInstance {
+    UpstreamInstance {
+        id: InstanceId::without_start(id),
         order_fence: 0,
         pool: "desk".to_owned(),
-        capacity: Room { cpu_milli: 10_000, memory_mb: 1_000, accelerators: 0 },
+        capacity: Resources { cpu_milli: 10_000, memory_mb: 1_000, accelerators: 0 },
         labels: Vec::new(),
         leaving: false,
     }
 }
 
-fn placement(job: u64, count: u16, cpu_milli: u32) -> Placement {
-    Placement {
-        job: CallerId(job),
+fn placement(job: u64, count: u16, cpu_milli: u32) -> StepPlacement {
+    StepPlacement {
+        job: CallerJobId(job),
         step: 0,
         spec: "spec".to_owned(),
         tasks: (0..count).map(|index| TaskStart { index, run: 1 }).collect(),
-        need: Room { cpu_milli, memory_mb: 10, accelerators: 0 },
+        need: Resources { cpu_milli, memory_mb: 10, accelerators: 0 },
         run_ms: 100,
         priority: 1,
         objective_in_ms: 400,
         give_up_in_ms: 2_000,
-        finishing: false,
+        job_mostly_started: false,
         suspect: false,
     }
 }
 
 fn task(job: u64, index: u16) -> TaskKey {
-    TaskKey { job: CallerId(job), step: 0, index }
+    TaskKey { job: CallerJobId(job), step: 0, index }
 }
 
 fn renew(ledger: &mut Ledger, now_ms: u64, running: &[(TaskKey, u32)], ended: &[Ended]) {
@@ -106,7 +106,7 @@
     ledger.place(ENTRY, placement(2, 1, 8_000), 2);
     let order = starts(&mut ledger, 2).remove(0);
     ledger.start_answered(order.task, 1, StartAnswer::Started, 3);
-    ledger.stop_job(ENTRY, CallerId(1));
+    ledger.stop_job(ENTRY, CallerJobId(1));
     assert_eq!(ledger.stops_due(4), [(order.task, 1)]);
     ledger.stop_confirmed(order.task, 1, 5);
     assert!(starts(&mut ledger, 6).is_empty());
@@ -144,7 +144,7 @@
     assert_eq!(events(&ledger, ENTRY), [(order.task, RunEvent::Started)]);
     renew(&mut ledger, 600, &[], &[ended(1, 1, 0, EndKind::Done)]);
     assert!(matches!(events(&ledger, ENTRY)[1].1, RunEvent::Done { .. }));
-    assert_eq!(ledger.load(600).taken, Room::default());
+    assert_eq!(ledger.load(600).taken, Resources::default());
 }
 
 #[test]
@@ -222,8 +222,9 @@
 #[test]
 fn a_job_in_time_goes_before_a_late_one_and_hopeless_ones_go_back() {
     let mut ledger = ready();
-    let late = Placement { objective_in_ms: 110, ..placement(1, 1, 8_000) };
-    let hopeless = Placement { objective_in_ms: 100, give_up_in_ms: 105, ..placement(2, 1, 8_000) };
+    let late = StepPlacement { objective_in_ms: 110, ..placement(1, 1, 8_000) };
+    let hopeless =
+        StepPlacement { objective_in_ms: 100, give_up_in_ms: 105, ..placement(2, 1, 8_000) };
     ledger.place(ENTRY, late, 2);
     ledger.place(ENTRY, hopeless, 2);
     ledger.place(ENTRY, placement(3, 1, 8_000), 2);
@@ -238,7 +239,7 @@
     ledger.place(ENTRY, placement(1, 2, 8_000), 2);
     let order = starts(&mut ledger, 2).remove(0);
     ledger.start_answered(order.task, 1, StartAnswer::Started, 3);
-    ledger.set_upstream(UpstreamLife { leaving: true, ..life("a") });
+    ledger.set_upstream(UpstreamInstance { leaving: true, ..life("a") });
     ledger.place(ENTRY, placement(2, 1, 1_000), 10);
     let back = RunEvent::NotStarted(NotStarted::Leaving);
     assert_eq!(events(&ledger, ENTRY)[1..], [(task(1, 1), back), (task(2, 0), back)]);
@@ -362,7 +363,7 @@
     ledger.start_answered(task(1, 0), 1, StartAnswer::Started, 3);
     renew(&mut ledger, 100, &[], &[ended(1, 1, 0, EndKind::Done)]);
     let old = LeaseAnswer {
-        life: LifeId::named("a"),
+        life: InstanceId::without_start("a"),
         fence: 0,
         sent_ms: 50,
         clock_ms: CLOCK_MS + 60,
@@ -413,7 +414,7 @@
     let running: Vec<_> = orders.iter().map(|order| (order.task, 1)).collect();
     renew(&mut ledger, 400, &running, &[]);
     assert!(ledger.load(400).slowness_percent > 350);
-    ledger.stop_job(ENTRY, CallerId(1));
+    ledger.stop_job(ENTRY, CallerJobId(1));
     let stopped: Vec<_> = (0..8).map(|n| ended(n + 1, 1, n as u16, EndKind::Stopped)).collect();
     renew(&mut ledger, 620, &[], &stopped);
     assert!(ledger.load(4_000).slowness_percent < 150, "what is held against it fades");
@@ -434,13 +435,13 @@
 #[test]
 fn the_last_tasks_of_a_job_that_has_begun_go_first_of_their_priority_also_when_late() {
     let mut ledger = ready();
-    let soon = Placement { objective_in_ms: 110, ..placement(1, 1, 8_000) };
+    let soon = StepPlacement { objective_in_ms: 110, ..placement(1, 1, 8_000) };
     ledger.place(ENTRY, soon, 2);
-    ledger.place(ENTRY, Placement { priority: 2, ..placement(2, 1, 8_000) }, 2);
+    ledger.place(ENTRY, StepPlacement { priority: 2, ..placement(2, 1, 8_000) }, 2);
     ledger.place(ENTRY, placement(3, 1, 8_000), 2);
-    ledger.place(ENTRY, Placement { priority: 0, ..placement(4, 1, 8_000) }, 2);
-    ledger.finish_job(ENTRY, CallerId(1), 2_000, 2);
-    ledger.finish_job(ENTRY, CallerId(2), 2_000, 2);
+    ledger.place(ENTRY, StepPlacement { priority: 0, ..placement(4, 1, 8_000) }, 2);
+    ledger.finish_job(ENTRY, CallerJobId(1), 2_000, 2);
+    ledger.finish_job(ENTRY, CallerJobId(2), 2_000, 2);
     let mut order = Vec::new();
     for number in 1..=4 {
         let now_ms = 50 + number;
@@ -454,9 +455,9 @@
     assert_eq!(order, [4, 1, 3, 2]);
 }
 
-fn life_with(cpu_milli: u32) -> UpstreamLife {
-    let capacity = Room { cpu_milli, memory_mb: 1_000, accelerators: 0 };
-    UpstreamLife { capacity, ..life("a") }
+fn life_with(cpu_milli: u32) -> UpstreamInstance {
+    let capacity = Resources { cpu_milli, memory_mb: 1_000, accelerators: 0 };
+    UpstreamInstance { capacity, ..life("a") }
 }
 
 #[test]
@@ -481,7 +482,7 @@
     let running: Vec<_> = starts(&mut ledger, 2).iter().map(|order| (order.task, 1)).collect();
     renew(&mut ledger, 10, &running, &[]);
     ledger.set_upstream(life_with(8_000));
-    ledger.stop_job(ENTRY, CallerId(1));
+    ledger.stop_job(ENTRY, CallerJobId(1));
     ledger.place(ENTRY, placement(2, 1, 4_000), 11);
     assert!(starts(&mut ledger, 11).is_empty());
     let stopped = [ended(1, 1, 0, EndKind::Stopped), ended(2, 1, 1, EndKind::Stopped)];
@@ -501,7 +502,7 @@
     let back = events(&ledger, ENTRY);
     let no_room = RunEvent::NotStarted(NotStarted::NoRoom);
     let handed_back =
-        back.iter().filter(|(task, event)| task.job == CallerId(2) && *event == no_room);
+        back.iter().filter(|(task, event)| task.job == CallerJobId(2) && *event == no_room);
     assert_eq!(handed_back.count(), 20);
     renew(&mut ledger, 100, &[], &[ended(1, 1, 0, EndKind::Done)]);
     assert_eq!(starts(&mut ledger, 101)[0].task, task(3, 0));
@@ -539,7 +540,7 @@
 #[test]
 fn two_tasks_under_which_upstreams_crashed_do_not_run_beside_each_other() {
     let mut ledger = ready();
-    ledger.place(ENTRY, Placement { suspect: true, ..placement(1, 2, 1_000) }, 2);
+    ledger.place(ENTRY, StepPlacement { suspect: true, ..placement(1, 2, 1_000) }, 2);
     ledger.place(ENTRY, placement(2, 1, 1_000), 2);
     let first: Vec<_> = starts(&mut ledger, 2).iter().map(|order| order.task).collect();
     assert_eq!(first, [task(1, 0), task(2, 0)], "others run beside it");
--- a/crates/decide/tests/ledger_lives.rs
+++ b/crates/decide/tests/ledger_lives.rs
@@ -10,8 +10,8 @@
     sycamorerail_wire::{
         ids::Incarnation,
         runs::{
-            CallerId, LifeId, NotStarted, Placement, Room, RunEvent, TaskKey, TaskStart,
-            UpstreamLife,
+            CallerJobId, InstanceId, NotStarted, Resources, RunEvent, StepPlacement, TaskKey,
+            TaskStart, UpstreamInstance,
         },
     },
 };
@@ -24,32 +24,32 @@
 /// From its last answer on the lease of an upstream has surely lapsed.
 const LAPSE_MS: u64 = 1_820;
 
-fn id(started_unix_ms: u64) -> LifeId {
-    LifeId { id: "a".to_owned(), started_unix_ms: Some(started_unix_ms) }
+fn id(started_unix_ms: u64) -> InstanceId {
+    InstanceId { id: "a".to_owned(), started_unix_ms: Some(started_unix_ms) }
 }
 
-fn life(id: LifeId) -> UpstreamLife {
-    UpstreamLife {
+fn life(id: InstanceId) -> UpstreamInstance {
+    UpstreamInstance {
         id,
         order_fence: 0,
         pool: "desk".to_owned(),
-        capacity: Room { cpu_milli: 10_000, memory_mb: 1_000, accelerators: 0 },
+        capacity: Resources { cpu_milli: 10_000, memory_mb: 1_000, accelerators: 0 },
         labels: Vec::new(),
         leaving: false,
     }
 }
 
 fn task(index: u16) -> TaskKey {
-    TaskKey { job: CallerId(1), step: 0, index }
+    TaskKey { job: CallerJobId(1), step: 0, index }
 }
 
 /// An answer to a renewal with the present fence.
-fn answer(ledger: &Ledger, life: LifeId, sent_ms: u64) -> LeaseAnswer {
+fn answer(ledger: &Ledger, life: InstanceId, sent_ms: u64) -> LeaseAnswer {
     let fence = ledger.fence();
     LeaseAnswer { life, fence, sent_ms, clock_ms: CLOCK_MS + sent_ms, ..LeaseAnswer::default() }
 }
 
-fn renew(ledger: &mut Ledger, life: LifeId, now_ms: u64) {
+fn renew(ledger: &mut Ledger, life: InstanceId, now_ms: u64) {
     let answer = answer(ledger, life, now_ms);
     ledger.renewed(&answer, now_ms);
 }
@@ -70,7 +70,7 @@
 #[test]
 fn an_announcement_without_a_start_is_of_the_present_life() {
     let mut ledger = ready();
-    let told = UpstreamLife { leaving: true, ..life(LifeId::named("a")) };
+    let told = UpstreamInstance { leaving: true, ..life(InstanceId::without_start("a")) };
     assert_eq!(ledger.announced(told, 3), Announced::Believed);
     assert_eq!(ledger.present(), Some(&id(FIRST)));
     assert!(ledger.life().unwrap().leaving);
@@ -79,17 +79,17 @@
 /// The same with a task that was ordered at 10 ms.
 fn ordered() -> Ledger {
     let mut ledger = ready();
-    let placement = Placement {
-        job: CallerId(1),
+    let placement = StepPlacement {
+        job: CallerJobId(1),
         step: 0,
         spec: "spec".to_owned(),
         tasks: vec![TaskStart { index: 0, run: 1 }],
-        need: Room { cpu_milli: 1_000, memory_mb: 10, accelerators: 0 },
+        need: Resources { cpu_milli: 1_000, memory_mb: 10, accelerators: 0 },
         run_ms: 100,
         priority: 1,
         objective_in_ms: 400,
         give_up_in_ms: 2_000,
-        finishing: false,
+        job_mostly_started: false,
         suspect: false,
     };
     ledger.place(ENTRY, placement, 10);
@@ -144,7 +144,7 @@
         assert_eq!(events(&ledger), [RunEvent::Started]);
         renew(&mut ledger, id(answers), 31);
         assert_eq!(ledger.present(), Some(&id(answers)));
-        let known = UpstreamLife { order_fence: ledger.fence(), ..life(id(answers)) };
+        let known = UpstreamInstance { order_fence: ledger.fence(), ..life(id(answers)) };
         assert_eq!(ledger.life(), Some(&known));
     }
 }
@@ -162,7 +162,7 @@
 /// while had what runs declared lost, long before its lease had lapsed.
 #[test]
 fn an_unanswered_life_is_present_until_its_lease_has_lapsed() {
-    for other in [id(SECOND), LifeId::named("b")] {
+    for other in [id(SECOND), InstanceId::without_start("b")] {
         let mut ledger = running();
         ledger.check_lapse(1_500);
         assert_eq!(ledger.announced(life(other.clone()), 1_500), Announced::Doubted);
@@ -262,7 +262,7 @@
 #[test]
 fn an_upstream_that_said_that_it_leaves_has_not_crashed() {
     let mut ledger = running();
-    ledger.announced(UpstreamLife { leaving: true, ..life(id(FIRST)) }, 25);
+    ledger.announced(UpstreamInstance { leaving: true, ..life(id(FIRST)) }, 25);
     renew(&mut ledger, id(SECOND), 30);
     assert_eq!(events(&ledger), [RunEvent::Started, RunEvent::Lost]);
 }
@@ -357,7 +357,7 @@
 fn a_fence_that_is_known_late_is_overtaken() {
     let mut ledger = ready();
     let above = ledger.fence() + 1_000;
-    ledger.recall_fence(&UpstreamLife { order_fence: above, ..life(id(SECOND)) });
+    ledger.recall_fence(&UpstreamInstance { order_fence: above, ..life(id(SECOND)) });
     assert!(ledger.fence() > above);
     assert_eq!(ledger.proven_life().unwrap().order_fence, ledger.fence());
 }
@@ -377,7 +377,7 @@
 fn a_fence_that_readers_of_json_would_round_is_not_believed() {
     let mut ledger = ready();
     let before = ledger.fence();
-    ledger.recall_fence(&UpstreamLife { order_fence: u64::MAX, ..life(id(FIRST)) });
+    ledger.recall_fence(&UpstreamInstance { order_fence: u64::MAX, ..life(id(FIRST)) });
     assert_eq!(ledger.fence(), before);
 }
 
--- a/crates/decide/tests/ledger_load.rs
+++ b/crates/decide/tests/ledger_load.rs
@@ -2,13 +2,13 @@
 
 use {
     sycamorerail_decide::ledger::is_news,
-    sycamorerail_wire::runs::{Room, UpstreamLoad},
+    sycamorerail_wire::runs::{Resources, UpstreamLoad},
 };
 
 fn load() -> UpstreamLoad {
     UpstreamLoad {
         usable: true,
-        taken: Room { cpu_milli: 4_000, ..Room::default() },
+        taken: Resources { cpu_milli: 4_000, ..Resources::default() },
         running_milli_ms: 400_000,
         slowness_percent: 100,
         ..UpstreamLoad::default()
@@ -23,7 +23,7 @@
 
 #[test]
 fn room_queues_and_trouble_are_news() {
-    let taken = Room { cpu_milli: 5_000, ..Room::default() };
+    let taken = Resources { cpu_milli: 5_000, ..Resources::default() };
     assert!(is_news(&load(), &UpstreamLoad { taken, ..load() }));
     assert!(is_news(&load(), &UpstreamLoad { waiting: 1, ..load() }));
     assert!(is_news(&load(), &UpstreamLoad { waiting_milli_ms: [0, 1, 0, 0], ..load() }));
--- a/crates/decide/tests/ledger_machine.rs
+++ b/crates/decide/tests/ledger_machine.rs
@@ -15,7 +15,10 @@
     },
     sycamorerail_wire::{
         ids::Incarnation,
-        runs::{CallerId, LifeId, Placement, Room, RunEvent, TaskKey, TaskStart, UpstreamLife},
+        runs::{
+            CallerJobId, InstanceId, Resources, RunEvent, StepPlacement, TaskKey, TaskStart,
+            UpstreamInstance,
+        },
     },
 };
 
@@ -168,7 +171,7 @@
         *self = Self { before_unix_ms, ..Self::new(started_unix_ms, now_ms) };
     }
 
-    fn id(&self) -> LifeId {
+    fn id(&self) -> InstanceId {
         life(self.started_unix_ms).id
     }
 
@@ -282,7 +285,7 @@
     ledger: Ledger,
     upstream: Upstream,
     /// The upstream's life as the agent's next run will know it.
-    recorded: UpstreamLife,
+    recorded: UpstreamInstance,
     agent: u32,
     /// For so long its VM was suspended since the agent began.
     suspended_ms: u64,
@@ -356,26 +359,26 @@
     tasks: HashMap<TaskKey, Belief>,
 }
 
-fn life(started_unix_ms: u64) -> UpstreamLife {
-    UpstreamLife {
-        id: LifeId { id: "a".to_owned(), started_unix_ms: Some(started_unix_ms) },
+fn life(started_unix_ms: u64) -> UpstreamInstance {
+    UpstreamInstance {
+        id: InstanceId { id: "a".to_owned(), started_unix_ms: Some(started_unix_ms) },
         order_fence: 0,
         pool: "desk".to_owned(),
-        capacity: Room { cpu_milli: CAPACITY_MILLI, memory_mb: 0, accelerators: 0 },
+        capacity: Resources { cpu_milli: CAPACITY_MILLI, memory_mb: 0, accelerators: 0 },
         labels: Vec::new(),
         leaving: false,
     }
 }
 
 fn task(job: u64) -> TaskKey {
-    TaskKey { job: CallerId(job), step: 0, index: 0 }
+    TaskKey { job: CallerJobId(job), step: 0, index: 0 }
 }
 
 fn need_milli(task: TaskKey) -> u32 {
     NEED_MILLI[task.job.0 as usize % NEED_MILLI.len()]
 }
 
-fn new_ledger(life: UpstreamLife) -> Ledger {
+fn new_ledger(life: UpstreamInstance) -> Ledger {
     let mut ledger = Ledger::new(LedgerLimits::default());
     ledger.set_upstream(life);
     ledger
@@ -407,7 +410,7 @@
     fn run(&mut self, op: Op) {
         match op {
             Op::Place { job, site } => self.place(task(job), site),
-            Op::StopJob { job, site } => self.sites[site].ledger.stop_job(ENTRY, CallerId(job)),
+            Op::StopJob { job, site } => self.sites[site].ledger.stop_job(ENTRY, CallerJobId(job)),
             Op::Order { site } => self.order(site),
             Op::CarryOut { call, lose_answer } => self.carry_out(call, lose_answer),
             Op::TimeOut(call) => self.time_out(call),
@@ -449,17 +452,17 @@
         }
         belief.site = Some(site);
         belief.run += 1;
-        let placement = Placement {
+        let placement = StepPlacement {
             job: task.job,
             step: 0,
             spec: String::new(),
             tasks: vec![TaskStart { index: 0, run: belief.run }],
-            need: Room { cpu_milli: need_milli(task), memory_mb: 0, accelerators: 0 },
+            need: Resources { cpu_milli: need_milli(task), memory_mb: 0, accelerators: 0 },
             run_ms: 50,
             priority: 0,
             objective_in_ms: 1_000,
             give_up_in_ms: 3_000,
-            finishing: false,
+            job_mostly_started: false,
             suspect: false,
         };
         let ledger = &mut self.sites[site].ledger;
--- a/crates/decide/tests/shedding.rs
+++ b/crates/decide/tests/shedding.rs
@@ -9,11 +9,11 @@
     },
     sycamorerail_wire::{
         ids::Incarnation,
-        runs::{CallerId, LifeId, Room, UpstreamLife, UpstreamLoad},
+        runs::{CallerJobId, InstanceId, Resources, UpstreamInstance, UpstreamLoad},
     },
 };
 
-const CAPACITY: Room = Room { cpu_milli: 10_000, memory_mb: 1_000, accelerators: 0 };
+const CAPACITY: Resources = Resources { cpu_milli: 10_000, memory_mb: 1_000, accelerators: 0 };
 
 struct Site {
     dispatch: Dispatch,
@@ -30,8 +30,8 @@
         dispatch.agent_ready(agent, 0);
         dispatch.set_life(
             agent,
-            UpstreamLife {
-                id: LifeId::named("life"),
+            UpstreamInstance {
+                id: InstanceId::without_start("life"),
                 order_fence: 0,
                 pool: "desk".to_owned(),
                 capacity: CAPACITY,
@@ -50,7 +50,7 @@
         let load = UpstreamLoad {
             usable: true,
             capacity: CAPACITY,
-            taken: Room { cpu_milli: taken_milli, ..Room::default() },
+            taken: Resources { cpu_milli: taken_milli, ..Resources::default() },
             running_milli_ms: u64::from(taken_milli) * 100,
             slowness_percent: 100,
             ..UpstreamLoad::default()
@@ -83,12 +83,12 @@
         };
         let step = StepRequest {
             count: tasks,
-            need: Room { cpu_milli, memory_mb: 1, accelerators: 0 },
+            need: Resources { cpu_milli, memory_mb: 1, accelerators: 0 },
             run_ms,
             ..StepRequest::default()
         };
         let request = JobRequest {
-            id: CallerId(self.jobs),
+            id: CallerJobId(self.jobs),
             kind: Arc::new(kind),
             spec: String::new(),
             steps: vec![step],
--- a/crates/entry/src/evacuation.rs
+++ b/crates/entry/src/evacuation.rs
@@ -26,7 +26,7 @@
 /// Holds evacuations unless those held were true later. Returns whether the list has
 /// changed.
 pub(crate) fn hold(held: &watch::Sender<Evacuations>, told: &Evacuations) -> bool {
-    let changed = held.send_if_modified(|held| held.update(told));
+    let changed = held.send_if_modified(|held| held.merge_newer(told));
     if changed {
         event!(
             Info,
--- a/crates/entry/src/main.rs
+++ b/crates/entry/src/main.rs
@@ -35,7 +35,7 @@
     if options.check {
         return Exit::Success.into();
     }
-    logs::init(logs::level(&settings.log_level).unwrap_or(log::LevelFilter::Info));
+    logs::init(logs::parse_level(&settings.log_level).unwrap_or(log::LevelFilter::Info));
     counters::install();
     invariant::set_fatal(settings.fatal_invariants);
     run(settings)
--- a/crates/entry/src/peers/gossip.rs
+++ b/crates/entry/src/peers/gossip.rs
@@ -59,7 +59,7 @@
             let Ok(reply) = self.sessions.call(shared, address, &call, within).await else {
                 return Held::default();
             };
-            if !matches!(reply.body, EntryReplyBody::Behind) {
+            if !matches!(reply.body, EntryReplyBody::BaseReportMissing) {
                 return Held { number, told_at_ms: shared.now_ms() };
             }
         }
--- a/crates/entry/src/peers/serve.rs
+++ b/crates/entry/src/peers/serve.rs
@@ -103,12 +103,12 @@
             }
             ToEntry::Usage(report) => {
                 let taken = dispatch::hear_usage(shared, &report);
-                if taken { EntryReplyBody::Noted } else { EntryReplyBody::Behind }
+                if taken { EntryReplyBody::Acknowledged } else { EntryReplyBody::BaseReportMissing }
             }
             ToEntry::Status => EntryReplyBody::Status(self.own_status(shared)),
             ToEntry::Started { address, incarnation } => {
                 arrival::tell_agents(shared, address, incarnation);
-                EntryReplyBody::Noted
+                EntryReplyBody::Acknowledged
             }
         }
     }
--- a/crates/entry/src/runs/links.rs
+++ b/crates/entry/src/runs/links.rs
@@ -17,7 +17,7 @@
     sycamorerail_telemetry::event,
     sycamorerail_wire::{
         frames::{self, FrameError, FrameReader, FrameWriter},
-        runs::{Evacuations, FromRunsAgent, RunsHello, RunsOpening, TaskCrashes, ToRunsAgent},
+        runs::{Evacuations, FromRunsAgent, RunsFirstMessage, RunsHello, TaskCrashes, ToRunsAgent},
     },
     tokio::{
         net::{TcpListener, TcpStream},
@@ -107,10 +107,10 @@
 
 async fn serve(service: Arc<JobService>, stream: TcpStream, peer: SocketAddr) {
     let (mut reader, writer) = frames::split(stream, peer);
-    let first = timeout(HELLO_WITHIN, reader.next::<RunsOpening>()).await;
+    let first = timeout(HELLO_WITHIN, reader.next::<RunsFirstMessage>()).await;
     let hello = match first {
-        Ok(Ok(RunsOpening::Agent(hello))) => hello,
-        Ok(Ok(RunsOpening::Entry(query))) => {
+        Ok(Ok(RunsFirstMessage::Agent(hello))) => hello,
+        Ok(Ok(RunsFirstMessage::Entry(query))) => {
             return query::answer(&service, query, peer, writer).await;
         }
         Ok(Err(error)) => return event!(Info, "hello_lost", peer = peer, error = error),
@@ -141,12 +141,12 @@
 impl Link {
     fn begin(service: &Arc<JobService>, peer: SocketAddr, hello: RunsHello) -> Self {
         let outbox = Arc::new(Outbox::default());
-        let same = hello.entry == Some(service.incarnation);
-        let held = same.then_some(&*hello.held);
+        let same = hello.last_heard_entry == Some(service.incarnation);
+        let held = same.then_some(&*hello.held_runs);
         let agent = service.change(|dispatch, now_ms| {
             if same {
                 // What became of runs goes before what is held no more.
-                dispatch.take_reports(&hello.name, hello.agent, &hello.reports, now_ms);
+                dispatch.take_reports(&hello.name, hello.agent, &hello.unconfirmed_reports, now_ms);
             }
             let agent = dispatch.agent_connected(&hello.name, hello.agent, held, now_ms);
             dispatch.set_data_centre(agent, &hello.data_centre);
@@ -167,9 +167,10 @@
             agent = hello.name,
             peer = peer,
             run = hello.agent,
-            held = hello.held.len()
+            held = hello.held_runs.len()
         );
-        let confirmed = if same { hello.reports.last().map_or(0, |last| last.number) } else { 0 };
+        let confirmed =
+            if same { hello.unconfirmed_reports.last().map_or(0, |last| last.number) } else { 0 };
         Self {
             service: Arc::clone(service),
             peer,
@@ -178,7 +179,7 @@
             outbox,
             heard: AtomicU64::new(1),
             confirmed: AtomicU64::new(confirmed),
-            agent_revision: AtomicU64::new(hello.configuration),
+            agent_revision: AtomicU64::new(hello.configuration_revision),
             agent_evacuations: Mutex::default(),
         }
     }
@@ -240,7 +241,7 @@
             FromRunsAgent::Entries { connected, named } => {
                 self.service.set_linked(self.agent, connected, named);
             }
-            FromRunsAgent::Largest(room) => {
+            FromRunsAgent::LargestCapacity(room) => {
                 self.service.change(|dispatch, _| dispatch.set_largest(self.agent, room));
             }
             FromRunsAgent::Unlink => {
@@ -261,7 +262,7 @@
                 self.agent_evacuations.lock().clone_from(&told);
                 self.service.hold_evacuations(&told);
             }
-            FromRunsAgent::Holds { revision } => {
+            FromRunsAgent::ConfigurationRevision { revision } => {
                 self.agent_revision.fetch_max(revision, Ordering::AcqRel);
             }
             FromRunsAgent::Cold { left_ms } => self.take_cold(left_ms),
@@ -334,7 +335,7 @@
     /// Queues the evacuations in force, if the agent lacks them.
     fn tell_evacuations(&self) {
         let held = &self.service.evacuations;
-        let lacking = held.borrow().to_tell(&mut self.agent_evacuations.lock());
+        let lacking = held.borrow().update_for_peer(&mut self.agent_evacuations.lock());
         if let Some(evacuations) = lacking {
             self.tell(ToRunsAgent::Evacuations(evacuations));
         }
@@ -346,13 +347,13 @@
         let heard = self.heard.load(Ordering::Acquire);
         let confirmed = self.confirmed.load(Ordering::Acquire);
         let PoolSeen { agents, largest } = self.service.dispatch.lock().pool_of(self.agent);
-        self.tell(ToRunsAgent::Beat { heard, confirmed, agents, largest });
+        self.tell(ToRunsAgent::Heartbeat { heard, confirmed, agents, largest });
         self.tell_evacuations();
         let held = self.service.configuration.borrow().clone();
         let own = held.as_ref().map_or(0, |held| held.revision);
         let theirs = self.agent_revision.load(Ordering::Acquire);
         if theirs > own {
-            self.tell(ToRunsAgent::WantConfiguration);
+            self.tell(ToRunsAgent::RequestConfiguration);
         } else if let Some(held) = held.filter(|_| own > theirs) {
             if *wait_beats == 0 {
                 *wait_beats = rand::rng().random_range(1..=COPY_AFTER_BEATS);
--- a/crates/entry/src/runs/mod.rs
+++ b/crates/entry/src/runs/mod.rs
@@ -24,7 +24,7 @@
     sycamorerail_telemetry::event,
     sycamorerail_wire::{
         ids::Incarnation,
-        runs::{CallerId, ConfigurationCopy, Evacuations, ToRunsAgent},
+        runs::{CallerJobId, ConfigurationCopy, Evacuations, ToRunsAgent},
     },
     tokio::{
         net::TcpListener,
@@ -139,7 +139,7 @@
     }
 
     /// Whether a job of this id is not over here.
-    fn holds(&self, id: CallerId) -> bool {
+    fn holds(&self, id: CallerJobId) -> bool {
         self.dispatch.lock().find(id).is_some()
     }
 
@@ -233,7 +233,7 @@
         answer
     }
 
-    fn note_answer(&self, id: CallerId, kind: &str, answer: JobAnswer, took_ms: u64) {
+    fn note_answer(&self, id: CallerJobId, kind: &str, answer: JobAnswer, took_ms: u64) {
         let (outcome, why) = names(answer);
         metrics::counter!("sycamorerail_jobs_total", "outcome" => outcome, "why" => why)
             .increment(1);
@@ -251,7 +251,7 @@
     }
 
     /// Cancels a job here, whoever waits for it. Returns whether there is one.
-    fn cancel(self: &Arc<Self>, id: CallerId) -> bool {
+    fn cancel(self: &Arc<Self>, id: CallerJobId) -> bool {
         let mut dispatch = self.dispatch.lock();
         let Some(key) = dispatch.find(id) else { return false };
         dispatch.cancel(key);
@@ -288,7 +288,7 @@
                 }
                 Command::Finish(agent, job, give_up_in_ms) => {
                     dispatch.message_sent(agent, None, now_ms);
-                    self.send(agent, ToRunsAgent::Finish { job, give_up_in_ms });
+                    self.send(agent, ToRunsAgent::JobMostlyStarted { job, give_up_in_ms });
                 }
                 Command::Answer(job, answer) => {
                     if let Some(waiter) = self.waiters.lock().remove(&job) {
@@ -308,7 +308,7 @@
         }
     }
 
-    fn left(self: &Arc<Self>, job: JobKey, id: CallerId) {
+    fn left(self: &Arc<Self>, job: JobKey, id: CallerJobId) {
         self.waiters.lock().remove(&job);
         metrics::counter!("sycamorerail_callers_left_total").increment(1);
         event!(Info, "caller_left", job = id);
@@ -320,7 +320,7 @@
 struct Waiting<'a> {
     service: &'a Arc<JobService>,
     job: JobKey,
-    id: CallerId,
+    id: CallerJobId,
     is_answered: bool,
 }
 
@@ -333,7 +333,7 @@
 }
 
 /// Logs a decision on a job with what decided it.
-fn log_admission(accepted: bool, id: CallerId, size: JobSize<'_>, forecast: &Forecast) {
+fn log_admission(accepted: bool, id: CallerJobId, size: JobSize<'_>, forecast: &Forecast) {
     event!(
         Info,
         "job_admission",
--- a/crates/entry/src/runs/query.rs
+++ b/crates/entry/src/runs/query.rs
@@ -11,7 +11,7 @@
     sycamorerail_telemetry::event,
     sycamorerail_wire::{
         frames::{self, FrameError, FrameWriter},
-        runs::{CallerId, JobFound, JobQuery, RunsOpening},
+        runs::{CallerJobId, JobQuery, JobQueryReply, RunsFirstMessage},
     },
     tokio::time::timeout,
 };
@@ -75,9 +75,9 @@
 
 async fn ask(entry: SocketAddr, query: JobQuery) -> Result<bool, FrameError> {
     let (mut reader, mut writer) = frames::connect(entry, CONNECT_WITHIN).await?;
-    writer.push(&RunsOpening::Entry(query))?;
+    writer.push(&RunsFirstMessage::Entry(query))?;
     writer.flush().await?;
-    let answer = timeout(ANSWER_WITHIN, reader.next::<JobFound>()).await;
+    let answer = timeout(ANSWER_WITHIN, reader.next::<JobQueryReply>()).await;
     Ok(answer.map_err(|_| FrameError::Closed(entry))??.found)
 }
 
@@ -94,7 +94,7 @@
 ) {
     let found = service.look(query);
     log_answer(query.job, query.cancel, found, peer);
-    let sent = match writer.push(&JobFound { found }) {
+    let sent = match writer.push(&JobQueryReply { found }) {
         Ok(()) => writer.flush().await,
         Err(error) => Err(error),
     };
@@ -103,6 +103,6 @@
     }
 }
 
-fn log_answer(job: CallerId, cancel: bool, found: bool, peer: SocketAddr) {
+fn log_answer(job: CallerJobId, cancel: bool, found: bool, peer: SocketAddr) {
     event!(Info, "query_answered", job = job, cancel = cancel, found = found, peer = peer);
 }
--- a/crates/entry/src/upstreams/accept.rs
+++ b/crates/entry/src/upstreams/accept.rs
@@ -94,7 +94,7 @@
     dispatch::pump(shared);
     let members = shared.members.load_full();
     let told = heard.told.as_ref().is_some_and(|told| Arc::ptr_eq(told, &members));
-    let evacuations = shared.evacuations.borrow().to_tell(&mut heard.evacuations);
+    let evacuations = shared.evacuations.borrow().update_for_peer(&mut heard.evacuations);
     let welcome = welcome(shared, (!told).then_some(&*members), evacuations);
     // A reply that is lost ends the session, and the next one begins anew.
     heard.told = Some(members);
@@ -110,11 +110,11 @@
     match message {
         FromAgent::Hello(hello) => {
             shared.note_config_mark(hello.config_mark);
-            heard.evacuations.update(&hello.evacuations);
+            heard.evacuations.merge_newer(&hello.evacuations);
             shared.hold_evacuations(&hello.evacuations);
             heard.agent = Some(shared.upstreams.hello(shared, connection, *hello)?);
         }
-        FromAgent::Beat { load, config_mark } => {
+        FromAgent::Heartbeat { load, config_mark } => {
             shared.note_config_mark(config_mark);
             heard.agent.as_ref()?.take_load(load, shared.now_ms());
         }
--- a/crates/entry/src/upstreams/send.rs
+++ b/crates/entry/src/upstreams/send.rs
@@ -239,7 +239,7 @@
             AgentReplyBody::Revoked(_)
             | AgentReplyBody::Fenced(_)
             | AgentReplyBody::Probed
-            | AgentReplyBody::Noted => {
+            | AgentReplyBody::Acknowledged => {
                 event!(Error, "reply_out_of_place", agent = self.agent.peer);
                 Reply::Broken(Reason::Invalid)
             }
--- a/crates/entry/tests/admin_site/mod.rs
+++ b/crates/entry/tests/admin_site/mod.rs
@@ -14,7 +14,7 @@
     },
     sycamorerail_standin::platform::{PlatformStandin, PlatformStandinConfig},
     sycamorerail_telemetry::invariant,
-    sycamorerail_wire::keys::{PemPair, Role, issue, make_authority},
+    sycamorerail_wire::keys::{PemPair, Role, generate_authority, issue_certificate},
     tokio::{
         net::{TcpListener, TcpStream, UdpSocket},
         sync::watch,
@@ -57,7 +57,7 @@
     pub async fn start(entries: usize) -> Self {
         invariant::set_fatal(true);
         let standin = PlatformStandin::start(PlatformStandinConfig::default()).await.unwrap();
-        let authority = make_authority("test").unwrap();
+        let authority = generate_authority("test").unwrap();
         let mut site = Self { standin, entries: Vec::new(), authority, http: Client::new() };
         for _ in 0..entries {
             let address = site.standin.address();
@@ -89,7 +89,7 @@
 
     fn settings(&self, platform: SocketAddr) -> EntrySettings {
         let name = format!("entry-{}", self.entries.len());
-        let own = issue(&self.authority, Role::Entry, &name).unwrap();
+        let own = issue_certificate(&self.authority, Role::Entry, &name).unwrap();
         let any: SocketAddr = "127.0.0.1:0".parse().unwrap();
         EntrySettings {
             name,
--- a/crates/entry/tests/forward_cluster/mod.rs
+++ b/crates/entry/tests/forward_cluster/mod.rs
@@ -34,7 +34,7 @@
         upstream::{UpstreamStandin, UpstreamStandinConfig},
     },
     sycamorerail_telemetry::invariant,
-    sycamorerail_wire::keys::{PemPair, Role, issue, make_authority},
+    sycamorerail_wire::keys::{PemPair, Role, generate_authority, issue_certificate},
     tokio::{net::TcpListener, net::TcpStream, sync::watch, time::sleep},
 };
 
@@ -182,7 +182,7 @@
         change: impl FnOnce(&mut LimitSettings),
     ) -> Self {
         invariant::set_fatal(true);
-        let authority = make_authority("test").unwrap();
+        let authority = generate_authority("test").unwrap();
         let platform = PlatformStandin::start(PlatformStandinConfig::default()).await.unwrap();
         let mut limits = LimitSettings {
             lost_after_ms: 1_000,
@@ -287,7 +287,7 @@
     }
 
     fn entry_settings(&self, inner_address: SocketAddr, platform: SocketAddr) -> EntrySettings {
-        let own = issue(&self.authority, Role::Entry, "entry").unwrap();
+        let own = issue_certificate(&self.authority, Role::Entry, "entry").unwrap();
         EntrySettings {
             name: format!("entry-{}", self.nodes.len()),
             data_centre: "here".to_owned(),
@@ -313,7 +313,7 @@
     }
 
     fn agent_settings(&self, name: &str, entries: Vec<SocketAddr>) -> AgentSettings {
-        let own = issue(&self.authority, Role::Agent, name).unwrap();
+        let own = issue_certificate(&self.authority, Role::Agent, name).unwrap();
         AgentSettings {
             name: name.to_owned(),
             data_centre: "here".to_owned(),
--- a/crates/entry/tests/support/agent.rs
+++ b/crates/entry/tests/support/agent.rs
@@ -12,7 +12,7 @@
     sycamorerail_wire::{
         answer::{Payload, Reason, TaskEnd, TaskRecord, TaskReport},
         ids::{Incarnation, TaskId},
-        keys::{PemPair, ProcessKeys, Role, issue},
+        keys::{PemPair, ProcessKeys, Role, issue_certificate},
         message::{
             AgentHello, AgentIdentity, AgentReply, AgentReplyBody, ConfigMark, EntryWelcome,
             FromAgent, Load, Placement, ToAgent, UpstreamInfo,
@@ -50,7 +50,7 @@
 
 impl FakeAgent {
     pub async fn start(authority: &PemPair, entry: SocketAddr, name: &str, slots: u16) -> Self {
-        let own = issue(authority, Role::Agent, name).unwrap();
+        let own = issue_certificate(authority, Role::Agent, name).unwrap();
         let keys = ProcessKeys::read(&authority.certificate_pem, &own).unwrap();
         let any: SocketAddr = "127.0.0.1:0".parse().unwrap();
         let endpoint = session::open(any, &keys, SessionTiming::default()).unwrap();
@@ -152,10 +152,10 @@
             ToAgent::Revoke { tasks } => self.revoke(&tasks),
             ToAgent::Fence { .. } => AgentReplyBody::Fenced(Vec::new()),
             ToAgent::Probe => AgentReplyBody::Probed,
-            ToAgent::EntryStarted { .. } => AgentReplyBody::Noted,
+            ToAgent::EntryStarted { .. } => AgentReplyBody::Acknowledged,
             ToAgent::Evacuations(told) => {
                 self.state.lock().told.push(told);
-                AgentReplyBody::Noted
+                AgentReplyBody::Acknowledged
             }
         }
     }
--- a/crates/entry/tests/support/fleet.rs
+++ b/crates/entry/tests/support/fleet.rs
@@ -6,7 +6,7 @@
     sycamorerail_agent::agent::Agent,
     sycamorerail_settings::{agent::AgentSettings, keys::KeySettings},
     sycamorerail_standin::upstream::{StartReport, UpstreamStandin, UpstreamStandinConfig},
-    sycamorerail_wire::keys::{PemPair, Role, issue},
+    sycamorerail_wire::keys::{PemPair, Role, issue_certificate},
 };
 
 pub struct Member {
@@ -83,7 +83,7 @@
     number: usize,
     data_centre: &str,
 ) -> AgentSettings {
-    let own = issue(authority, Role::Agent, "agent").unwrap();
+    let own = issue_certificate(authority, Role::Agent, "agent").unwrap();
     AgentSettings {
         name: format!("agent-{number}"),
         data_centre: data_centre.to_owned(),
--- a/crates/entry/tests/support/mod.rs
+++ b/crates/entry/tests/support/mod.rs
@@ -30,7 +30,7 @@
     },
     sycamorerail_standin::platform::{PlatformStandin, PlatformStandinConfig},
     sycamorerail_telemetry::invariant,
-    sycamorerail_wire::keys::{PemPair, Role, issue, make_authority},
+    sycamorerail_wire::keys::{PemPair, Role, generate_authority, issue_certificate},
     uuid::{NoContext, Timestamp, Uuid},
 };
 
@@ -90,7 +90,7 @@
 
     pub async fn with_seams(limits: LimitSettings, seams: Seams) -> Self {
         invariant::set_fatal(true);
-        let authority = make_authority("test").unwrap();
+        let authority = generate_authority("test").unwrap();
         let entry = Entry::start_with(settings(&authority, limits), seams).await.unwrap();
         entry.put_in_force(vec![template("alpenfunk"), template("rangmancha")]);
         Self { authority, entry, http: Client::new() }
@@ -199,7 +199,7 @@
 }
 
 fn settings(authority: &PemPair, limits: LimitSettings) -> EntrySettings {
-    let own = issue(authority, Role::Entry, "entry").unwrap();
+    let own = issue_certificate(authority, Role::Entry, "entry").unwrap();
     EntrySettings {
         name: "entry".to_owned(),
         data_centre: "here".to_owned(),
--- a/crates/entry/tests/suspended_stops.rs
+++ b/crates/entry/tests/suspended_stops.rs
@@ -25,7 +25,7 @@
     let own = listener.local_addr().unwrap();
     let limits = DispatchLimits::default();
     let settings = JobServiceSettings { name: "entry".to_owned(), limits, own };
-    let clock = Clock::start_with_leaps(leaps_ms);
+    let clock = Clock::start_with_test_suspension(leaps_ms);
     let service = JobService::start_with(settings, listener, clock);
     service.stop_within(LEFT);
     let early = timeout(STOP_ANSWER, service.stopped()).await;
--- a/crates/membership/src/life_record.rs
+++ b/crates/membership/src/life_record.rs
@@ -9,7 +9,7 @@
 use {
     sycamorerail_platform::{Expected, KeyValue, Platform, PlatformError, Swap, backoff::jittered},
     sycamorerail_telemetry::event,
-    sycamorerail_wire::runs::UpstreamLife,
+    sycamorerail_wire::runs::UpstreamInstance,
     tokio::{sync::watch, time::sleep},
 };
 
@@ -41,8 +41,8 @@
     /// Runs until `lives` ends.
     pub async fn keep(
         mut self,
-        mut lives: watch::Receiver<Option<UpstreamLife>>,
-        on_read: impl FnOnce(UpstreamLife),
+        mut lives: watch::Receiver<Option<UpstreamInstance>>,
+        on_read: impl FnOnce(UpstreamInstance),
     ) {
         if let Some(life) = self.read(&lives).await {
             event!(Info, "life_recalled", life = life.id, leaving = life.leaving);
@@ -68,8 +68,8 @@
     /// The recorded life; tries until the platform answers.
     async fn read(
         &mut self,
-        lives: &watch::Receiver<Option<UpstreamLife>>,
-    ) -> Option<UpstreamLife> {
+        lives: &watch::Receiver<Option<UpstreamInstance>>,
+    ) -> Option<UpstreamInstance> {
         loop {
             match self.platform.get(&self.key).await {
                 Ok(None) => return None,
@@ -83,7 +83,7 @@
         }
     }
 
-    fn parse(&mut self, item: KeyValue) -> Option<UpstreamLife> {
+    fn parse(&mut self, item: KeyValue) -> Option<UpstreamInstance> {
         let life = serde_json::from_str(&item.value);
         if let Err(error) = &life {
             event!(Warn, "life_unreadable", key = self.key, error = error);
@@ -93,7 +93,7 @@
     }
 
     /// Writes a life unless it is recorded; returns whether it is now.
-    async fn try_write(&mut self, life: &UpstreamLife) -> bool {
+    async fn try_write(&mut self, life: &UpstreamInstance) -> bool {
         let value = serde_json::to_string(life).expect("a plain struct with text keys");
         let is_stored = |stored: &Option<(String, u64)>| {
             stored.as_ref().is_some_and(|(stored, _)| *stored == value)
--- a/crates/settings/tests/examples.rs
+++ b/crates/settings/tests/examples.rs
@@ -11,7 +11,7 @@
         standin::{PlatformStandinSettings, UpstreamStandinSettings},
         template::{Priority, SpreadTemplate, Template, Urgency},
     },
-    sycamorerail_wire::keys::{Role, issue, make_authority},
+    sycamorerail_wire::keys::{Role, generate_authority, issue_certificate},
 };
 
 fn example(path: &str) -> PathBuf {
@@ -21,7 +21,8 @@
 /// The text of an example whose keys are made and written to `dir`.
 fn with_keys(path: &str, dir: &Path) -> String {
     let text = fs::read_to_string(example(path)).unwrap();
-    let keys = issue(&make_authority("test").unwrap(), Role::Entry, "test").unwrap();
+    let keys =
+        issue_certificate(&generate_authority("test").unwrap(), Role::Entry, "test").unwrap();
     for line in text.lines().filter(|line| line.contains("_path: ")) {
         let (_, name) = line.split_once("keys/").unwrap();
         let pem = if name.ends_with(".key.pem") { &keys.key_pem } else { &keys.certificate_pem };
--- a/crates/telemetry/src/logs.rs
+++ b/crates/telemetry/src/logs.rs
@@ -47,14 +47,14 @@
 
 /// Reads a level's name in settings.
 #[must_use]
-pub fn level(name: &str) -> Option<LevelFilter> {
+pub fn parse_level(name: &str) -> Option<LevelFilter> {
     name.parse().ok()
 }
 
 /// A value of an event, escaped so that it stays one word or one quoted text.
-pub struct Value<T>(pub T);
+pub struct EscapedValue<T>(pub T);
 
-impl<T: fmt::Display> fmt::Display for Value<T> {
+impl<T: fmt::Display> fmt::Display for EscapedValue<T> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let text = self.0.to_string();
         let short: String = text.chars().take(MAX_VALUE_CHARS).collect();
@@ -87,7 +87,7 @@
                     concat!("time_unix_ms={} level={} event=", $name $(, " ", stringify!($key), "={}")*),
                     $crate::logs::unix_ms(),
                     stringify!($level)
-                    $(, $crate::logs::Value(&$value))*
+                    $(, $crate::logs::EscapedValue(&$value))*
                 ),
             );
         }
--- a/crates/wire/src/keys.rs
+++ b/crates/wire/src/keys.rs
@@ -90,7 +90,7 @@
 /// # Errors
 ///
 /// When the library cannot make a key.
-pub fn make_authority(cluster: &str) -> Result<PemPair, KeyError> {
+pub fn generate_authority(cluster: &str) -> Result<PemPair, KeyError> {
     let key = KeyPair::generate()?;
     let certificate = authority_params(cluster)?.self_signed(&key)?;
     Ok(PemPair { certificate_pem: certificate.pem(), key_pem: key.serialize_pem() })
@@ -101,7 +101,11 @@
 /// # Errors
 ///
 /// When the authority's PEM cannot be read or the library refuses.
-pub fn issue(authority: &PemPair, role: Role, process: &str) -> Result<PemPair, KeyError> {
+pub fn issue_certificate(
+    authority: &PemPair,
+    role: Role,
+    process: &str,
+) -> Result<PemPair, KeyError> {
     let authority_key = KeyPair::from_pem(&authority.key_pem)?;
     let issuer = rcgen::Issuer::from_ca_cert_pem(&authority.certificate_pem, authority_key)?;
     let key = KeyPair::generate()?;
--- a/crates/wire/src/message.rs
+++ b/crates/wire/src/message.rs
@@ -77,7 +77,7 @@
     pub evacuations: Evacuations,
 }
 
-/// What an entry answers to [`AgentHello`] and [`FromAgent::Beat`].
+/// What an entry answers to [`AgentHello`] and [`FromAgent::Heartbeat`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntryWelcome {
     /// This run of the entry.
@@ -109,7 +109,7 @@
     /// announced, changed, leaving or gone.
     Hello(Box<AgentHello>),
     /// Heartbeat of an idle pair.
-    Beat {
+    Heartbeat {
         /// Load now.
         load: Load,
         /// Highest configuration mark the agent has seen.
@@ -223,7 +223,7 @@
     /// Reply to a probe.
     Probed,
     /// Taken.
-    Noted,
+    Acknowledged,
 }
 
 /// What an agent holds of a fenced job.
@@ -376,9 +376,9 @@
     /// Records newer than asked for.
     Templates(Vec<TemplateRecord>),
     /// Taken.
-    Noted,
+    Acknowledged,
     /// The report to which changes were given is not held: tell all.
-    Behind,
+    BaseReportMissing,
     /// How the entry stands.
     Status(EntryStatus),
 }
--- a/crates/wire/src/runs.rs
+++ b/crates/wire/src/runs.rs
@@ -13,27 +13,27 @@
 
 /// A job's id as its caller chose it: 16 lower-case hexadecimal digits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct CallerId(pub u64);
+pub struct CallerJobId(pub u64);
 
-impl fmt::Display for CallerId {
+impl fmt::Display for CallerJobId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{:016x}", self.0)
     }
 }
 
-/// The text is no [`CallerId`].
+/// The text is no [`CallerJobId`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct NotCallerId;
+pub struct InvalidCallerJobId;
 
-impl FromStr for CallerId {
-    type Err = NotCallerId;
+impl FromStr for CallerJobId {
+    type Err = InvalidCallerJobId;
 
-    fn from_str(text: &str) -> Result<Self, NotCallerId> {
+    fn from_str(text: &str) -> Result<Self, InvalidCallerJobId> {
         let is_digit = |byte: u8| matches!(byte, b'0'..=b'9' | b'a'..=b'f');
         if text.len() != 16 || !text.bytes().all(is_digit) {
-            return Err(NotCallerId);
+            return Err(InvalidCallerJobId);
         }
-        u64::from_str_radix(text, 16).map(Self).map_err(|_| NotCallerId)
+        u64::from_str_radix(text, 16).map(Self).map_err(|_| InvalidCallerJobId)
     }
 }
 
@@ -41,7 +41,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct TaskKey {
     /// Its job.
-    pub job: CallerId,
+    pub job: CallerJobId,
     /// Number of its step, from 0.
     pub step: u8,
     /// Its number within the step, from 0.
@@ -56,7 +56,7 @@
 
 /// What a task takes of an upstream, or what an upstream has.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Room {
+pub struct Resources {
     /// Processor, in thousandths of a core.
     pub cpu_milli: u32,
     /// Memory, in megabytes.
@@ -65,10 +65,10 @@
     pub accelerators: u32,
 }
 
-impl Room {
+impl Resources {
     /// Whether `need` fits.
     #[must_use]
-    pub fn fits(&self, need: &Self) -> bool {
+    pub fn covers(&self, need: &Self) -> bool {
         self.cpu_milli >= need.cpu_milli
             && self.memory_mb >= need.memory_mb
             && self.accelerators >= need.accelerators
@@ -76,7 +76,7 @@
 
     /// What is left beside `taken`; nothing where more is taken than there is.
     #[must_use]
-    pub fn less(&self, taken: &Self) -> Self {
+    pub fn minus(&self, taken: &Self) -> Self {
         Self {
             cpu_milli: self.cpu_milli.saturating_sub(taken.cpu_milli),
             memory_mb: self.memory_mb.saturating_sub(taken.memory_mb),
@@ -86,7 +86,7 @@
 
     /// The most of each.
     #[must_use]
-    pub fn most(&self, other: &Self) -> Self {
+    pub fn max_of_each(&self, other: &Self) -> Self {
         Self {
             cpu_milli: self.cpu_milli.max(other.cpu_milli),
             memory_mb: self.memory_mb.max(other.memory_mb),
@@ -116,9 +116,9 @@
 
 /// Tasks of one step of a job, for one agent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Placement {
+pub struct StepPlacement {
     /// The job.
-    pub job: CallerId,
+    pub job: CallerJobId,
     /// Number of the step.
     pub step: u8,
     /// The caller's text for the upstream.
@@ -126,7 +126,7 @@
     /// The tasks to start.
     pub tasks: Vec<TaskStart>,
     /// What each takes.
-    pub need: Room,
+    pub need: Resources,
     /// Expected run time of each, in milliseconds.
     pub run_ms: u32,
     /// Lower goes first among tasks that can still be in time.
@@ -136,7 +136,7 @@
     /// Milliseconds from sending after which nobody waits for the job.
     pub give_up_in_ms: u32,
     /// Most of the job's tasks have begun: these are what it waits for.
-    pub finishing: bool,
+    pub job_mostly_started: bool,
     /// Upstreams crashed while these ran there, more than once: not two such tasks run at
     /// one upstream, so that the next crash hits one of them only.
     pub suspect: bool,
@@ -243,7 +243,7 @@
 impl TaskCrashes {
     /// So many crashes, the last of them at this time of the own clock.
     #[must_use]
-    pub fn until(
+    pub fn from_last_crash(
         last_ms: i64,
         (agent, task, crashes): (Incarnation, TaskKey, u8),
         now_ms: u64,
@@ -254,7 +254,7 @@
 
     /// When the last one was by the own clock, maybe before that began.
     #[must_use]
-    pub fn last_ms(&self, now_ms: u64) -> i64 {
+    pub fn last_crash_ms(&self, now_ms: u64) -> i64 {
         now_ms as i64 - i64::from(self.ago_ms)
     }
 }
@@ -269,9 +269,9 @@
     /// the agent is left on it.
     pub usable: bool,
     /// What it has in all.
-    pub capacity: Room,
+    pub capacity: Resources,
     /// What runs, or may run, takes.
-    pub taken: Room,
+    pub taken: Resources,
     /// Work that waits at the agent by priority, the last for all that is less
     /// urgent or late, in thousandths of a core times milliseconds.
     pub waiting_milli_ms: [u64; PRIORITY_CLASSES],
@@ -312,14 +312,14 @@
 
     /// Whether it was true later than the other list, and says something else.
     #[must_use]
-    pub fn is_news_to(&self, other: &Self) -> bool {
+    pub fn is_update_to(&self, other: &Self) -> bool {
         self.revision > other.revision && self.data_centres != other.data_centres
     }
 
     /// What a peer is to be told that holds `known`, where it lacks anything; it holds that
     /// from then on.
-    pub fn to_tell(&self, known: &mut Self) -> Option<Self> {
-        if !self.is_news_to(known) {
+    pub fn update_for_peer(&self, known: &mut Self) -> Option<Self> {
+        if !self.is_update_to(known) {
             return None;
         }
         known.clone_from(self);
@@ -327,8 +327,8 @@
     }
 
     /// Takes what was true later. Returns whether the list has changed.
-    pub fn update(&mut self, newer: &Self) -> bool {
-        let changed = newer.is_news_to(self);
+    pub fn merge_newer(&mut self, newer: &Self) -> bool {
+        let changed = newer.is_update_to(self);
         if newer.revision > self.revision {
             self.clone_from(newer);
         }
@@ -339,7 +339,7 @@
 /// Identity of one life of an upstream. An upstream that starts again may keep its id;
 /// its start then tells the lives apart.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct LifeId {
+pub struct InstanceId {
     /// The upstream's id.
     pub id: String,
     /// When it started, in Unix milliseconds by the clock of its VM, which may go back:
@@ -347,23 +347,23 @@
     pub started_unix_ms: Option<u64>,
 }
 
-impl LifeId {
+impl InstanceId {
     /// The life of an upstream that does not tell when it started.
     #[must_use]
-    pub fn named(id: &str) -> Self {
+    pub fn without_start(id: &str) -> Self {
         Self { id: id.to_owned(), started_unix_ms: None }
     }
 
     /// The present life, if this one has its id and does not tell a start: without one
     /// lives are told apart by their ids alone.
     #[must_use]
-    pub fn or_present(self, present: Option<&Self>) -> Self {
+    pub fn or_current(self, present: Option<&Self>) -> Self {
         let is_present = |present: &&Self| self.started_unix_ms.is_none() && present.id == self.id;
         present.filter(is_present).cloned().unwrap_or(self)
     }
 }
 
-impl fmt::Display for LifeId {
+impl fmt::Display for InstanceId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.started_unix_ms {
             Some(started_unix_ms) => write!(f, "{}@{started_unix_ms}", self.id),
@@ -374,9 +374,9 @@
 
 /// An upstream's life as an entry remembers it for an agent that restarts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct UpstreamLife {
+pub struct UpstreamInstance {
     /// Which life it is.
-    pub id: LifeId,
+    pub id: InstanceId,
     /// Highest fence that orders under the id had so far, as far as it is known. Upstreams
     /// do not announce it; records of the earlier form lack it.
     #[serde(default)]
@@ -384,7 +384,7 @@
     /// The pool it belongs to.
     pub pool: String,
     /// What it has in all.
-    pub capacity: Room,
+    pub capacity: Resources,
     /// Its labels.
     pub labels: Vec<String>,
     /// It said that it leaves.
@@ -401,23 +401,23 @@
     /// Data centre from the settings.
     pub data_centre: String,
     /// The entry incarnation that the agent heard last at this address.
-    pub entry: Option<Incarnation>,
+    pub last_heard_entry: Option<Incarnation>,
     /// Runs of that incarnation that the agent holds, with their numbers. Others
     /// that the entry placed before run no more, if they began at all.
-    pub held: Vec<(TaskKey, u32)>,
+    pub held_runs: Vec<(TaskKey, u32)>,
     /// Reports to that incarnation that it has not confirmed.
-    pub reports: Vec<RunReport>,
+    pub unconfirmed_reports: Vec<RunReport>,
     /// Revision of the configuration copy that the agent holds.
-    pub configuration: u64,
+    pub configuration_revision: u64,
 }
 
 /// First message on a connection to an entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum RunsOpening {
+pub enum RunsFirstMessage {
     /// An agent connects; the connection stays.
     Agent(RunsHello),
     /// Another entry asks about a job; the connection ends with the answer, a
-    /// [`JobFound`].
+    /// [`JobQueryReply`].
     Entry(JobQuery),
 }
 
@@ -425,14 +425,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobQuery {
     /// The job.
-    pub job: CallerId,
+    pub job: CallerJobId,
     /// Whether to cancel it, beside looking.
     pub cancel: bool,
 }
 
 /// The answer to a [`JobQuery`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct JobFound {
+pub struct JobQueryReply {
     /// The entry holds the job, and has cancelled it where that was asked.
     pub found: bool,
 }
@@ -450,7 +450,7 @@
         load: UpstreamLoad,
     },
     /// The upstream's life, when it is known or has changed.
-    Upstream(UpstreamLife),
+    Upstream(UpstreamInstance),
     /// Inner addresses of entries, as the agent knows them.
     Entries {
         /// It is connected to them now.
@@ -459,7 +459,7 @@
         named: Vec<SocketAddr>,
     },
     /// The most of each that an upstream of the agent's pool has, as its entries told.
-    Largest(Room),
+    LargestCapacity(Resources),
     /// The agent means to end this connection: nothing more is to be placed over it.
     Unlink,
     /// The agent holds this configuration, which the entry lacks.
@@ -467,7 +467,7 @@
     /// Evacuations as the agent knows them, which the entry lacks.
     Evacuations(Evacuations),
     /// Highest revision of a configuration that the agent holds.
-    Holds {
+    ConfigurationRevision {
         /// The revision.
         revision: u64,
     },
@@ -489,26 +489,26 @@
         /// This run of the entry.
         entry: Incarnation,
         /// The upstream's last known life, if the entry knows one.
-        upstream: Option<UpstreamLife>,
+        upstream: Option<UpstreamInstance>,
     },
     /// Addresses of all entries known, for agents to dial.
     Members(Vec<SocketAddr>),
     /// Start these tasks.
-    Place(Placement),
+    Place(StepPlacement),
     /// Start nothing more of the job, and stop what runs of it.
-    Stop(CallerId),
+    Stop(CallerJobId),
     /// Hand these tasks back if they wait still.
     Withdraw(Vec<TaskKey>),
     /// Most tasks of the job have begun: those that wait go before others of their
     /// priority, also when they are late.
-    Finish {
+    JobMostlyStarted {
         /// The job.
-        job: CallerId,
+        job: CallerJobId,
         /// Milliseconds from sending after which nobody waits for it.
         give_up_in_ms: u32,
     },
     /// Heartbeat, with what was heard.
-    Beat {
+    Heartbeat {
         /// Messages heard from the agent on this connection.
         heard: u64,
         /// All reports up to this number are taken note of.
@@ -516,7 +516,7 @@
         /// Agents of the agent's pool that the entry has.
         agents: u32,
         /// The most of each that an upstream of that pool has, as the entry knows.
-        largest: Room,
+        largest: Resources,
     },
     /// The answer to [`FromRunsAgent::Unlink`]: no placement follows. The agent ends the
     /// connection once nothing of the entry is left.
@@ -526,7 +526,7 @@
     /// Evacuations as the entry knows them, which the agent lacks.
     Evacuations(Evacuations),
     /// The entry holds an older configuration than the agent: send it.
-    WantConfiguration,
+    RequestConfiguration,
     /// Tasks under which upstreams of several agents crashed: to be told to other entries,
     /// which may be handed their jobs in again.
     Crashes(Vec<TaskCrashes>),
--- a/crates/wire/tests/session.rs
+++ b/crates/wire/tests/session.rs
@@ -5,7 +5,7 @@
     std::{net::SocketAddr, time::Duration},
     sycamorerail_wire::{
         ids::Incarnation,
-        keys::{PemPair, ProcessKeys, Role, issue, make_authority},
+        keys::{PemPair, ProcessKeys, Role, generate_authority, issue_certificate},
         message::{EntryReply, EntryReplyBody, ToEntry},
         session::{self, SessionError, SessionTiming},
     },
@@ -15,7 +15,7 @@
 const WITHIN: Duration = Duration::from_secs(5);
 
 fn endpoint(authority: &PemPair, role: Role) -> quinn::Endpoint {
-    let own = issue(authority, role, "test").unwrap();
+    let own = issue_certificate(authority, role, "test").unwrap();
     open_at("127.0.0.1:0".parse().unwrap(), authority, &own)
 }
 
@@ -34,7 +34,7 @@
     let reply = EntryReply {
         entry: incarnation,
         config_mark: Default::default(),
-        body: EntryReplyBody::Noted,
+        body: EntryReplyBody::Acknowledged,
     };
     session::write_reply(peer, &mut send, &reply).await.ok()?;
     connection.closed().await;
@@ -43,7 +43,7 @@
 
 #[tokio::test]
 async fn reply_arrives() {
-    let authority = make_authority("test").unwrap();
+    let authority = generate_authority("test").unwrap();
     let server = endpoint(&authority, Role::Entry);
     let address = server.local_addr().unwrap();
     let incarnation = Incarnation(rand::rng().random());
@@ -58,7 +58,7 @@
 
 #[tokio::test]
 async fn wrong_role() {
-    let authority = make_authority("test").unwrap();
+    let authority = generate_authority("test").unwrap();
     let server = endpoint(&authority, Role::Agent);
     let address = server.local_addr().unwrap();
     let _serving = tokio::spawn(answer_one(server, Incarnation(1)));
@@ -69,10 +69,10 @@
 
 #[tokio::test]
 async fn other_cluster() {
-    let server = endpoint(&make_authority("ours").unwrap(), Role::Entry);
+    let server = endpoint(&generate_authority("ours").unwrap(), Role::Entry);
     let address = server.local_addr().unwrap();
     let serving = tokio::spawn(answer_one(server, Incarnation(1)));
-    let client = endpoint(&make_authority("theirs").unwrap(), Role::Agent);
+    let client = endpoint(&generate_authority("theirs").unwrap(), Role::Agent);
     let refused = session::connect(&client, address, Role::Entry, WITHIN).await.unwrap_err();
     assert!(refused.nothing_sent(), "{refused}");
     assert_eq!(serving.await.unwrap(), None);
@@ -106,8 +106,8 @@
 
 #[tokio::test]
 async fn restart_resets() {
-    let authority = make_authority("test").unwrap();
-    let own = issue(&authority, Role::Entry, "test").unwrap();
+    let authority = generate_authority("test").unwrap();
+    let own = issue_certificate(&authority, Role::Entry, "test").unwrap();
     let (address, server) = dies_with_one_connection(authority.clone(), own.clone());
     let client = endpoint(&authority, Role::Agent);
     let connection = session::connect(&client, address, Role::Entry, WITHIN).await.unwrap();
