--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -52,7 +52,7 @@
 
 /// How a planned stop ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Stopped {
+pub struct StopOutcome {
     /// Tasks and replies that were cut off when `drain_ms` had passed.
     pub cut: usize,
 }
@@ -120,7 +120,7 @@
     /// the stop and has been quiet for a while. Where nothing was cut off,
     /// the close code proves to an entry that a placement which crossed with
     /// the close was not taken.
-    pub async fn stop(self) -> Stopped {
+    pub async fn stop(self) -> StopOutcome {
         let drain = Duration::from_millis(self.core.settings.drain_ms.into());
         self.core.drain();
         event!(Info, "draining", running = self.core.counts().running);
@@ -129,7 +129,7 @@
         invariant::check(Invariant::NoCutInDrain, cut == 0, &self.core.identity.name);
         event!(Info, "agent_stopped", cut = cut);
         self.close(if cut == 0 { CLOSE_DRAINED } else { CLOSE_CUT }).await;
-        Stopped { cut }
+        StopOutcome { cut }
     }
 
     async fn wait_until_idle(&self) {
--- a/crates/agent/src/leased/lease.rs
+++ b/crates/agent/src/leased/lease.rs
@@ -2,8 +2,8 @@
 
 use {
     super::{
-        Leased,
-        port::{Authority, CallError, Renewal},
+        LeasedAgent,
+        upstream_client::{CallError, FencedTarget, LeaseRenewal},
     },
     futures::{StreamExt, stream::FuturesUnordered},
     std::{sync::Arc, time::Duration},
@@ -30,7 +30,7 @@
 const GONE_AFTER: u32 = 3;
 
 /// Keeps the lease for as long as the agent runs.
-pub(super) async fn keep(leased: Arc<Leased>) {
+pub(super) async fn keep(leased: Arc<LeasedAgent>) {
     loop {
         let life = leased.ledger.lock().present().cloned();
         match life {
@@ -41,7 +41,7 @@
 }
 
 /// Keeps the lease of one life until it ends or another is present.
-async fn keep_life(leased: &Arc<Leased>, life: &InstanceId) {
+async fn keep_life(leased: &Arc<LeasedAgent>, life: &InstanceId) {
     let mut keeping = Keeping { leased, life, unheard: 0, is_sure: false, is_heard: false };
     let mut under_way = FuturesUnordered::new();
     let mut next_at = Instant::now();
@@ -82,7 +82,7 @@
 }
 
 struct Keeping<'a> {
-    leased: &'a Arc<Leased>,
+    leased: &'a Arc<LeasedAgent>,
     life: &'a InstanceId,
     /// Calls in a row that found no listener.
     unheard: u32,
@@ -169,7 +169,7 @@
         }
         match error {
             // Others were sent meanwhile.
-            CallError::Unanswered(_) => Next::AsPlanned,
+            CallError::TimedOut(_) => Next::AsPlanned,
             _ => Next::After(RETRY),
         }
     }
@@ -187,30 +187,40 @@
     }
 }
 
-async fn renew(leased: &Leased, life: &InstanceId, wait_ms: u32, acknowledges: bool) -> Renewed {
+async fn renew(
+    leased: &LeasedAgent,
+    life: &InstanceId,
+    wait_ms: u32,
+    acknowledges: bool,
+) -> Renewed {
     let sent_ms = leased.clock.now_ms();
     let (fence, is_fenced, renewal) = {
         let ledger = leased.ledger.lock();
         let renewal = if ledger.is_fenced() {
             renewal(&ledger, wait_ms, acknowledges, sent_ms)
         } else {
-            Renewal { lease_until_clock_ms: None, acknowledged: 0, wait_ms: 0 }
+            LeaseRenewal { lease_until_clock_ms: None, acknowledged_through: 0, wait_ms: 0 }
         };
         (ledger.fence(), ledger.is_fenced(), renewal)
     };
-    let authority = Authority { life: life.clone(), fence };
-    Renewed { sent_ms, fence, is_fenced, answer: leased.port.renew(authority, renewal).await }
+    let target = FencedTarget { life: life.clone(), fence };
+    Renewed {
+        sent_ms,
+        fence,
+        is_fenced,
+        answer: leased.upstream_client.renew_lease(target, renewal).await,
+    }
 }
 
-fn renewal(ledger: &Ledger, wait_ms: u32, acknowledges: bool, now_ms: u64) -> Renewal {
-    Renewal {
+fn renewal(ledger: &Ledger, wait_ms: u32, acknowledges: bool, now_ms: u64) -> LeaseRenewal {
+    LeaseRenewal {
         lease_until_clock_ms: ledger.lease_until_clock_ms(now_ms),
-        acknowledged: if acknowledges { ledger.acknowledged() } else { 0 },
+        acknowledged_through: if acknowledges { ledger.acknowledged() } else { 0 },
         wait_ms: if ledger.clock_ms(now_ms).is_some() { wait_ms } else { 0 },
     }
 }
 
-fn lose(leased: &Arc<Leased>, life: &InstanceId, error: &CallError, how: LifeEnd) {
+fn lose(leased: &Arc<LeasedAgent>, life: &InstanceId, error: &CallError, how: LifeEnd) {
     event!(Warn, "upstream_lost", life = life, error = error);
     leased.change(|ledger, _| {
         if ledger.present() == Some(life) {
--- a/crates/agent/src/leased/links/link.rs
+++ b/crates/agent/src/leased/links/link.rs
@@ -1,7 +1,7 @@
 //! One connection to an entry.
 
 use {
-    super::super::Leased,
+    super::super::LeasedAgent,
     parking_lot::Mutex,
     std::{
         fmt,
@@ -68,7 +68,7 @@
 
 /// One connection to an entry.
 pub(super) struct Link {
-    leased: Arc<Leased>,
+    leased: Arc<LeasedAgent>,
     peer: SocketAddr,
     /// The entry's run.
     pub(super) entry: Incarnation,
@@ -92,7 +92,7 @@
 impl Link {
     /// Connects and exchanges the first messages.
     pub(super) async fn open(
-        leased: &Arc<Leased>,
+        leased: &Arc<LeasedAgent>,
         peer: SocketAddr,
         last_entry: Option<Incarnation>,
         kept: watch::Receiver<bool>,
@@ -117,7 +117,7 @@
         });
         event!(Info, "link_opened", peer = peer, entry = entry, again = last_entry == Some(entry));
         if let Some(life) = upstream {
-            leased.remember(life);
+            leased.restore_upstream(life);
         }
         let mut echo = Echo::new(now_ms);
         echo.sent(now_ms);
@@ -418,7 +418,7 @@
     }
 }
 
-fn hello(leased: &Leased, last_entry: Option<Incarnation>) -> RunsHello {
+fn hello(leased: &LeasedAgent, last_entry: Option<Incarnation>) -> RunsHello {
     let ledger = leased.ledger.lock();
     RunsHello {
         agent: leased.incarnation,
--- a/crates/agent/src/leased/links/mod.rs
+++ b/crates/agent/src/leased/links/mod.rs
@@ -6,7 +6,7 @@
 mod link;
 
 use {
-    super::Leased,
+    super::LeasedAgent,
     crate::pause::jittered,
     link::{Cluster, Link, LinkEnd},
     parking_lot::Mutex,
@@ -216,7 +216,7 @@
 }
 
 /// Chooses links whenever entries come, go or fail, for as long as the agent runs.
-pub(super) async fn keep_chosen(leased: Arc<Leased>) {
+pub(super) async fn keep_chosen(leased: Arc<LeasedAgent>) {
     loop {
         let count_at = Instant::now() + jittered(COUNT_PAUSE_MS);
         loop {
@@ -229,7 +229,7 @@
     }
 }
 
-fn choose_now(leased: &Arc<Leased>) {
+fn choose_now(leased: &Arc<LeasedAgent>) {
     let now_ms = leased.clock.now_ms();
     let links = &leased.links;
     let mut known = links.known.lock();
@@ -257,7 +257,7 @@
 }
 
 /// Keeps a link to an entry for as long as it is chosen.
-async fn keep(leased: Arc<Leased>, peer: SocketAddr, kept: watch::Receiver<bool>) {
+async fn keep(leased: Arc<LeasedAgent>, peer: SocketAddr, kept: watch::Receiver<bool>) {
     let mut pause_ms = REDIAL_MS.0;
     while !leased.links.finish(peer) {
         let last_run = leased.links.last_run(peer);
--- a/crates/agent/src/leased/mod.rs
+++ b/crates/agent/src/leased/mod.rs
@@ -1,13 +1,13 @@
 //! An agent beside an upstream that runs tasks under leases.
 //!
-//! [`Leased`] holds the ledger and acts on its decisions; [`lease`] renews the
+//! [`LeasedAgent`] holds the ledger and acts on its decisions; [`lease`] renews the
 //! lease and learns of ends; [`links`] keeps the connections to entries.
 
 mod lease;
 mod links;
-mod port;
+mod upstream_client;
 
-pub use port::{Authority, CallError, Renewal, UpstreamPort};
+pub use upstream_client::{CallError, FencedTarget, LeaseRenewal, UpstreamClient};
 
 use {
     crate::evacuation,
@@ -40,7 +40,7 @@
 
 /// What an agent of leased runs needs to know.
 #[derive(Clone, Debug)]
-pub struct LeasedSettings {
+pub struct LeasedAgentSettings {
     /// Name, the same over restarts.
     pub name: String,
     /// Own data centre.
@@ -54,11 +54,11 @@
 }
 
 /// An agent of leased runs.
-pub struct Leased {
-    pub(crate) settings: LeasedSettings,
+pub struct LeasedAgent {
+    pub(crate) settings: LeasedAgentSettings,
     pub(crate) incarnation: Incarnation,
     pub(crate) clock: Clock,
-    pub(crate) port: Box<dyn UpstreamPort>,
+    pub(crate) upstream_client: Box<dyn UpstreamClient>,
     pub(crate) ledger: Mutex<Ledger>,
     links: links::Links,
     pub(crate) configuration: Mutex<Option<ConfigurationCopy>>,
@@ -76,18 +76,21 @@
     pub(crate) look_now: Notify,
 }
 
-impl Leased {
+impl LeasedAgent {
     /// Starts the agent's tasks on the present runtime.
     #[must_use]
-    pub fn start(settings: LeasedSettings, port: Box<dyn UpstreamPort>) -> Arc<Self> {
-        Self::start_with(settings, port, Clock::start())
+    pub fn start(
+        settings: LeasedAgentSettings,
+        upstream_client: Box<dyn UpstreamClient>,
+    ) -> Arc<Self> {
+        Self::start_with_clock(settings, upstream_client, Clock::start())
     }
 
     /// The same with a clock of the caller's.
     #[must_use]
-    pub fn start_with(
-        settings: LeasedSettings,
-        port: Box<dyn UpstreamPort>,
+    pub fn start_with_clock(
+        settings: LeasedAgentSettings,
+        upstream_client: Box<dyn UpstreamClient>,
         clock: Clock,
     ) -> Arc<Self> {
         let leased = Arc::new(Self {
@@ -96,7 +99,7 @@
             settings,
             incarnation: Incarnation(rand::rng().random()),
             clock,
-            port,
+            upstream_client,
             configuration: Mutex::new(None),
             evacuations: Mutex::default(),
             changes: watch::Sender::new(0),
@@ -107,7 +110,7 @@
         });
         tokio::spawn(lease::keep(Arc::clone(&leased)));
         tokio::spawn(tick(Arc::clone(&leased)));
-        leased.dial(&leased.settings.seeds);
+        leased.add_entries(&leased.settings.seeds);
         tokio::spawn(links::keep_chosen(Arc::clone(&leased)));
         event!(
             Info,
@@ -120,19 +123,19 @@
     }
 
     /// Entries may be reached at these addresses too.
-    pub fn dial(&self, entries: &[SocketAddr]) {
+    pub fn add_entries(&self, entries: &[SocketAddr]) {
         self.links.learn(entries, self.clock.now_ms());
     }
 
     /// Entries connected now.
     #[must_use]
-    pub fn connected(&self) -> usize {
+    pub fn connected_entries(&self) -> usize {
         self.links.connected()
     }
 
     /// The last life of the upstream that was announced, as it changes.
     #[must_use]
-    pub fn lives(&self) -> watch::Receiver<Option<UpstreamInstance>> {
+    pub fn subscribe_instance(&self) -> watch::Receiver<Option<UpstreamInstance>> {
         self.lives.subscribe()
     }
 
@@ -141,7 +144,7 @@
     /// An announcement of another life than the one that answers renewals is not believed
     /// until an answer shows that life: it may have been sent by an earlier one, and held up.
     /// Nor is one that puts a known life into another pool: a life stays in its pool.
-    pub fn announced(self: &Arc<Self>, life: UpstreamInstance) {
+    pub fn upstream_announced(self: &Arc<Self>, life: UpstreamInstance) {
         let (id, pool, leaving) = (life.id.clone(), life.pool.clone(), life.leaving);
         let cpu_milli = life.capacity.cpu_milli;
         match self.change(|ledger, now_ms| ledger.announced(life, now_ms)) {
@@ -166,7 +169,7 @@
     }
 
     /// A life of the upstream announced that it is slow for so many milliseconds more.
-    pub fn announced_cold(self: &Arc<Self>, life: InstanceId, left_ms: u64) {
+    pub fn upstream_cold(self: &Arc<Self>, life: InstanceId, left_ms: u64) {
         self.change(|ledger, now_ms| ledger.announced_cold(life, left_ms, now_ms));
     }
 
@@ -174,21 +177,21 @@
     /// the upstream announces itself: a restarted agent then starts tasks at once.
     ///
     /// Later too: late orders of the earlier run are below the fence from then on.
-    pub fn remember(self: &Arc<Self>, life: UpstreamInstance) {
+    pub fn restore_upstream(self: &Arc<Self>, life: UpstreamInstance) {
         let is_unknown = self.change(|ledger, _| {
             ledger.recall_fence(&life);
             ledger.life().is_none()
         });
         if is_unknown {
             event!(Info, "upstream_remembered", life = life.id, leaving = life.leaving);
-            self.announced(life);
+            self.upstream_announced(life);
         }
     }
 
     /// The upstream says that it is gone.
     ///
     /// As long as it answers that is not believed: an earlier life may have said so.
-    pub fn withdrawn(self: &Arc<Self>, id: &str) {
+    pub fn upstream_withdrawn(self: &Arc<Self>, id: &str) {
         match self.change(|ledger, now_ms| ledger.withdrawn(id, now_ms)) {
             Withdrawn::Believed => event!(Info, "upstream_withdrawn", life = id),
             Withdrawn::Doubted => {
@@ -220,7 +223,7 @@
     }
 
     /// Waits until nothing runs and all entries know how it ended.
-    pub async fn drained(&self) {
+    pub async fn wait_drained(&self) {
         while !self.ledger.lock().is_idle() {
             tokio::time::sleep(DRAIN_POLL).await;
         }
@@ -240,16 +243,16 @@
         let starts: Vec<_> = std::iter::from_fn(|| ledger.next_start(now_ms)).collect();
         let stops = ledger.stops_due(now_ms);
         let decided = ledger.take_decided();
-        let authority =
-            ledger.present().map(|life| Authority { life: life.clone(), fence: ledger.fence() });
+        let target =
+            ledger.present().map(|life| FencedTarget { life: life.clone(), fence: ledger.fence() });
         self.tell_life(&ledger);
         drop(ledger);
-        if let Some(authority) = authority {
+        if let Some(target) = target {
             for order in starts {
-                tokio::spawn(start(Arc::clone(self), authority.clone(), order, now_ms));
+                tokio::spawn(start(Arc::clone(self), target.clone(), order, now_ms));
             }
             for (task, run) in stops {
-                tokio::spawn(stop(Arc::clone(self), authority.clone(), task, run));
+                tokio::spawn(stop(Arc::clone(self), target.clone(), task, run));
             }
         }
         decided.iter().for_each(log_decided);
@@ -271,14 +274,14 @@
 
 /// Sends an order to start a task. One that was decided before the VM was suspended is not
 /// sent any more: the task may be elsewhere by now.
-async fn start(leased: Arc<Leased>, authority: Authority, order: StartOrder, decided_ms: u64) {
+async fn start(leased: Arc<LeasedAgent>, target: FencedTarget, order: StartOrder, decided_ms: u64) {
     let (task, run) = (order.task, order.run);
     let sent_ms = leased.clock.now_ms();
     let is_late = sent_ms > decided_ms + leased.settings.limits.start_within_ms;
     let answer = if is_late {
         StartAnswer::Refused(StartRefusal::Late)
     } else {
-        leased.port.start(authority, order).await
+        leased.upstream_client.start_run(target, order).await
     };
     if answer != StartAnswer::Started {
         let took_ms = leased.clock.now_ms() - sent_ms;
@@ -294,8 +297,8 @@
     leased.change(|ledger, now_ms| ledger.start_answered(task, run, answer, now_ms));
 }
 
-async fn stop(leased: Arc<Leased>, authority: Authority, task: TaskKey, run: u32) {
-    match leased.port.stop(authority, task, run).await {
+async fn stop(leased: Arc<LeasedAgent>, target: FencedTarget, task: TaskKey, run: u32) {
+    match leased.upstream_client.stop_run(target, task, run).await {
         Ok(()) => {
             leased.change(|ledger, now_ms| ledger.stop_confirmed(task, run, now_ms));
             leased.look_now.notify_one();
@@ -328,7 +331,7 @@
     );
 }
 
-fn log_load(leased: &Leased) {
+fn log_load(leased: &LeasedAgent) {
     let load = leased.ledger.lock().load(leased.clock.now_ms());
     event!(
         Info,
@@ -338,12 +341,12 @@
         waiting = load.waiting,
         slowness_percent = load.slowness_percent,
         failing_percent = load.failing_percent,
-        entries = leased.connected(),
+        entries = leased.connected_entries(),
     );
 }
 
 /// Does what is due by time alone.
-async fn tick(leased: Arc<Leased>) {
+async fn tick(leased: Arc<LeasedAgent>) {
     let mut ticks = tokio::time::interval(TICK);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     for count in 0_u64.. {
--- a/crates/agent/src/leased/port.rs
+++ b/crates/agent/src/leased/upstream_client.rs
@@ -9,7 +9,7 @@
 
 /// On whose behalf a call is made.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Authority {
+pub struct FencedTarget {
     /// The upstream's life for which the call is meant.
     pub life: InstanceId,
     /// The upstream does nothing for a lower number than the highest it saw.
@@ -18,11 +18,11 @@
 
 /// Renewal of the lease under which everything on an upstream runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Renewal {
+pub struct LeaseRenewal {
     /// On the upstream's clock; `None` leaves the lease as it is.
     pub lease_until_clock_ms: Option<u64>,
     /// Ends up to this number need not be told again.
-    pub acknowledged: u64,
+    pub acknowledged_through: u64,
     /// The answer may wait this long for an end.
     pub wait_ms: u32,
 }
@@ -40,11 +40,11 @@
     /// Nobody listens there: the upstream's process is gone.
     NoListener,
     /// No whole answer came in time.
-    Unanswered(String),
+    TimedOut(String),
     /// The connection ended before the answer.
-    Broken(String),
+    ConnectionLost(String),
     /// The answer was none that is expected.
-    Unexpected(String),
+    UnexpectedAnswer(String),
 }
 
 impl fmt::Display for CallError {
@@ -53,9 +53,9 @@
             Self::OtherLife => f.write_str("an upstream of another id answered"),
             Self::Fenced { clock_ms } => write!(f, "fenced at its clock {clock_ms} ms"),
             Self::NoListener => f.write_str("nobody listens"),
-            Self::Unanswered(why) => write!(f, "no answer: {why}"),
-            Self::Broken(why) => write!(f, "connection broken: {why}"),
-            Self::Unexpected(why) => write!(f, "unexpected answer: {why}"),
+            Self::TimedOut(why) => write!(f, "no answer: {why}"),
+            Self::ConnectionLost(why) => write!(f, "connection broken: {why}"),
+            Self::UnexpectedAnswer(why) => write!(f, "unexpected answer: {why}"),
         }
     }
 }
@@ -63,20 +63,20 @@
 impl std::error::Error for CallError {}
 
 /// Calls to one upstream.
-pub trait UpstreamPort: Send + Sync + 'static {
+pub trait UpstreamClient: Send + Sync + 'static {
     /// Starts a task.
-    fn start(&self, authority: Authority, order: StartOrder) -> BoxFuture<'_, StartAnswer>;
+    fn start_run(&self, target: FencedTarget, order: StartOrder) -> BoxFuture<'_, StartAnswer>;
     /// Stops a run, or makes sure that it never starts.
-    fn stop(
+    fn stop_run(
         &self,
-        authority: Authority,
+        target: FencedTarget,
         task: TaskKey,
         run: u32,
     ) -> BoxFuture<'_, Result<(), CallError>>;
     /// Renews the lease and reads what runs and what ended.
-    fn renew(
+    fn renew_lease(
         &self,
-        authority: Authority,
-        renewal: Renewal,
+        target: FencedTarget,
+        renewal: LeaseRenewal,
     ) -> BoxFuture<'_, Result<LeaseAnswer, CallError>>;
 }
--- a/crates/agent/tests/drain_bound.rs
+++ b/crates/agent/tests/drain_bound.rs
@@ -4,7 +4,7 @@
 mod support;
 
 use {
-    support::Cluster, sycamorerail_agent::agent::Stopped, sycamorerail_telemetry::invariant,
+    support::Cluster, sycamorerail_agent::agent::StopOutcome, sycamorerail_telemetry::invariant,
     sycamorerail_wire::session::peer_drained,
 };
 
@@ -15,7 +15,7 @@
     let _running = cluster.entry.place_later(&cluster.placement(1, r#"{"run_ms":600000}"#)).await;
     cluster.until_started(1).await;
     let connection = cluster.entry.connection().await;
-    assert_eq!(cluster.agent.stop().await, Stopped { cut: 2 });
+    assert_eq!(cluster.agent.stop().await, StopOutcome { cut: 2 });
     connection.closed().await;
     assert!(!peer_drained(&connection));
 }
--- a/crates/agent/tests/random_faults.rs
+++ b/crates/agent/tests/random_faults.rs
@@ -9,7 +9,7 @@
     rand::{Rng, SeedableRng, rngs::SmallRng},
     std::{collections::HashSet, time::Duration},
     support::{Cluster, PATIENCE, until},
-    sycamorerail_agent::agent::Stopped,
+    sycamorerail_agent::agent::StopOutcome,
     sycamorerail_standin::upstream::UpstreamFaults,
     sycamorerail_wire::{
         answer::{Reason, TaskEnd, TaskRecord},
@@ -124,7 +124,7 @@
     };
     cluster.upstream.heal().await.unwrap();
     let Cluster { agent, upstream, .. } = cluster;
-    assert_eq!(agent.stop().await, Stopped { cut: 0 });
+    assert_eq!(agent.stop().await, StopOutcome { cut: 0 });
     upstream.idle().await;
     let report = upstream.starts(true);
     assert_eq!((report.repeated, report.not_kept), (Vec::<String>::new(), 0));
--- a/crates/agent/tests/renewals.rs
+++ b/crates/agent/tests/renewals.rs
@@ -5,7 +5,7 @@
     parking_lot::Mutex,
     std::{sync::Arc, time::Duration},
     sycamorerail_agent::leased::{
-        Authority, CallError, Leased, LeasedSettings, Renewal, UpstreamPort,
+        CallError, FencedTarget, LeaseRenewal, LeasedAgent, LeasedAgentSettings, UpstreamClient,
     },
     sycamorerail_decide::{
         ledger::{EndKind, Ended, LeaseAnswer, LedgerLimits, StartAnswer, StartOrder},
@@ -28,22 +28,27 @@
 #[derive(Clone, Debug, Default)]
 struct FallsSilent(Arc<Mutex<Vec<u64>>>);
 
-impl UpstreamPort for FallsSilent {
-    fn start(&self, _: Authority, _: StartOrder) -> BoxFuture<'_, StartAnswer> {
+impl UpstreamClient for FallsSilent {
+    fn start_run(&self, _: FencedTarget, _: StartOrder) -> BoxFuture<'_, StartAnswer> {
         ready(StartAnswer::Unanswered).boxed()
     }
 
-    fn stop(&self, _: Authority, _: TaskKey, _: u32) -> BoxFuture<'_, Result<(), CallError>> {
+    fn stop_run(
+        &self,
+        _: FencedTarget,
+        _: TaskKey,
+        _: u32,
+    ) -> BoxFuture<'_, Result<(), CallError>> {
         ready(Ok(())).boxed()
     }
 
-    fn renew(
+    fn renew_lease(
         &self,
-        authority: Authority,
-        renewal: Renewal,
+        target: FencedTarget,
+        renewal: LeaseRenewal,
     ) -> BoxFuture<'_, Result<LeaseAnswer, CallError>> {
         let mut acknowledged = self.0.lock();
-        acknowledged.push(renewal.acknowledged);
+        acknowledged.push(renewal.acknowledged_through);
         if acknowledged.len() > ANSWERED {
             return pending().boxed();
         }
@@ -51,7 +56,7 @@
         let end = Ended { number: END, task, run: 1, kind: EndKind::Done };
         let ended = if acknowledged.len() == 2 { vec![end] } else { Vec::new() };
         let answer =
-            LeaseAnswer { life: authority.life, clock_ms: 1_000, ended, ..LeaseAnswer::default() };
+            LeaseAnswer { life: target.life, clock_ms: 1_000, ended, ..LeaseAnswer::default() };
         ready(Ok(answer)).boxed()
     }
 }
@@ -60,15 +65,15 @@
 #[tokio::test]
 async fn one_call_acknowledges_ends_after_an_answer() {
     let upstream = FallsSilent::default();
-    let settings = LeasedSettings {
+    let settings = LeasedAgentSettings {
         name: "agent".to_owned(),
         data_centre: "hall".to_owned(),
         seeds: Vec::new(),
         limits: LedgerLimits::default(),
         links: LinkLimits::default(),
     };
-    let agent = Leased::start(settings, Box::new(upstream.clone()));
-    agent.announced(UpstreamInstance {
+    let agent = LeasedAgent::start(settings, Box::new(upstream.clone()));
+    agent.upstream_announced(UpstreamInstance {
         id: InstanceId::without_start("life"),
         order_fence: 0,
         pool: "desk".to_owned(),
--- a/crates/agent/tests/stop.rs
+++ b/crates/agent/tests/stop.rs
@@ -4,7 +4,7 @@
 
 use {
     support::{Cluster, not_started, until},
-    sycamorerail_agent::agent::Stopped,
+    sycamorerail_agent::agent::StopOutcome,
     sycamorerail_wire::{
         answer::{Reason, TaskEnd},
         message::AgentReplyBody,
@@ -30,7 +30,7 @@
     let reply = running.await.unwrap();
     assert!(matches!(reply, AgentReplyBody::Ended { end: TaskEnd::Finished(_), .. }), "{reply:?}");
     let connection = entry.connection().await;
-    assert_eq!(stopping.await.unwrap(), Stopped { cut: 0 });
+    assert_eq!(stopping.await.unwrap(), StopOutcome { cut: 0 });
     connection.closed().await;
     assert!(peer_drained(&connection));
     assert_eq!(cluster.upstream.starts(false).starts, 1);
