--- a/crates/agent/src/leased/lease.rs
+++ b/crates/agent/src/leased/lease.rs
@@ -177,7 +177,7 @@
     /// How the life has ended, if a failed call shows that it has.
     fn end_shown_by(&self, error: &CallError) -> Option<LifeEnd> {
         match error {
-            CallError::OtherLife => Some(LifeEnd::Replaced),
+            CallError::OtherInstance => Some(LifeEnd::Replaced),
             CallError::NoListener if self.leased.ledger.lock().is_withdrawn() => {
                 Some(LifeEnd::Left)
             }
@@ -203,7 +203,7 @@
         };
         (ledger.fence(), ledger.is_fenced(), renewal)
     };
-    let target = FencedTarget { life: life.clone(), fence };
+    let target = FencedTarget { instance: life.clone(), fence };
     Renewed {
         sent_ms,
         fence,
--- a/crates/agent/src/leased/mod.rs
+++ b/crates/agent/src/leased/mod.rs
@@ -243,8 +243,9 @@
         let starts: Vec<_> = std::iter::from_fn(|| ledger.next_start(now_ms)).collect();
         let stops = ledger.stops_due(now_ms);
         let decided = ledger.take_decided();
-        let target =
-            ledger.present().map(|life| FencedTarget { life: life.clone(), fence: ledger.fence() });
+        let target = ledger
+            .present()
+            .map(|life| FencedTarget { instance: life.clone(), fence: ledger.fence() });
         self.tell_life(&ledger);
         drop(ledger);
         if let Some(target) = target {
--- a/crates/agent/src/leased/upstream_client.rs
+++ b/crates/agent/src/leased/upstream_client.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FencedTarget {
     /// The upstream's life for which the call is meant.
-    pub life: InstanceId,
+    pub instance: InstanceId,
     /// The upstream does nothing for a lower number than the highest it saw.
     pub fence: u64,
 }
@@ -31,7 +31,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallError {
     /// An upstream of another id answered.
-    OtherLife,
+    OtherInstance,
     /// A higher fence was seen.
     Fenced {
         /// The upstream's clock.
@@ -50,7 +50,7 @@
 impl fmt::Display for CallError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::OtherLife => f.write_str("an upstream of another id answered"),
+            Self::OtherInstance => f.write_str("an upstream of another id answered"),
             Self::Fenced { clock_ms } => write!(f, "fenced at its clock {clock_ms} ms"),
             Self::NoListener => f.write_str("nobody listens"),
             Self::TimedOut(why) => write!(f, "no answer: {why}"),
--- a/crates/agent/tests/renewals.rs
+++ b/crates/agent/tests/renewals.rs
@@ -56,7 +56,7 @@
         let end = Ended { number: END, task, run: 1, kind: EndKind::Done };
         let ended = if acknowledged.len() == 2 { vec![end] } else { Vec::new() };
         let answer =
-            LeaseAnswer { life: target.life, clock_ms: 1_000, ended, ..LeaseAnswer::default() };
+            LeaseAnswer { life: target.instance, clock_ms: 1_000, ended, ..LeaseAnswer::default() };
         ready(Ok(answer)).boxed()
     }
 }
