--- a/crates/bench/src/policy/world/entries.rs
+++ b/crates/bench/src/policy/world/entries.rs
@@ -7,7 +7,7 @@
         clock::millis,
         tally::{End, Ended},
     },
-    sycamorerail_decide::dispatch::{AgentKey, Command, JobAnswer, PoolSeen},
+    sycamorerail_decide::dispatch::{AgentKey, Command, JobAnswer, PoolView},
     sycamorerail_wire::runs::{FromRunsAgent, ToRunsAgent},
 };
 
@@ -119,7 +119,7 @@
         }
         let entry = &self.entries[link.entry];
         let linked = entry.agents[&link.agent];
-        let PoolSeen { agents, largest } = entry.dispatch.pool_of(linked.key);
+        let PoolView { agents, largest } = entry.dispatch.pool_view(linked.key);
         let beat =
             ToRunsAgent::Heartbeat { heard: 0, confirmed: linked.confirmed, agents, largest };
         self.tell(link.entry, linked.key, beat);
@@ -138,7 +138,7 @@
             FromRunsAgent::Report { heard, reports, load } => {
                 let last = reports.last().map_or(0, |report| report.number);
                 linked.confirmed = last.max(linked.confirmed);
-                entry.dispatch.report(agent, &reports, load, heard, now_ms);
+                entry.dispatch.handle_report(agent, &reports, load, heard, now_ms);
             }
             FromRunsAgent::Upstream(life) => entry.dispatch.set_life(agent, life),
             _ => {}
--- a/crates/decide/src/dispatch/connections.rs
+++ b/crates/decide/src/dispatch/connections.rs
@@ -1,7 +1,7 @@
 //! Agents that connect, report, fall silent and come back.
 
 use {
-    super::{AgentKey, AgentView, Command, Dispatch, PoolSeen},
+    super::{AgentKey, AgentView, Command, Dispatch, PoolView},
     crate::rendezvous::weight,
     std::collections::BTreeSet,
     sycamorerail_wire::{
@@ -38,7 +38,7 @@
     }
 
     /// Takes a report of an agent.
-    pub fn report(
+    pub fn handle_report(
         &mut self,
         agent: AgentKey,
         reports: &[RunReport],
@@ -85,7 +85,7 @@
 
     /// Takes reports that an agent sends again as it connects anew, before what
     /// it still holds is compared.
-    pub fn take_reports(
+    pub fn apply_resent_reports(
         &mut self,
         name: &str,
         incarnation: Incarnation,
@@ -135,7 +135,7 @@
     fn stop_what_is_over(&mut self, agent: AgentKey, held: &[(TaskKey, u32)]) {
         let jobs: BTreeSet<_> = held.iter().map(|(task, _)| task.job).collect();
         let is_open = |job: &CallerJobId| {
-            let job = self.find(*job).and_then(|key| self.jobs.get(key));
+            let job = self.find_job(*job).and_then(|key| self.jobs.get(key));
             job.is_some_and(|job| job.ending.is_none())
         };
         let over = jobs.into_iter().filter(|job| !is_open(job));
@@ -169,7 +169,7 @@
         let capacity = life.capacity;
         if let Some(view) = self.agents.get_mut(key) {
             view.life = Some(life);
-            self.set_largest(key, capacity);
+            self.raise_largest_capacity(key, capacity);
         }
     }
 
@@ -188,7 +188,7 @@
     }
 
     /// Some upstream of an agent's pool has so much, here or elsewhere.
-    pub fn set_largest(&mut self, key: AgentKey, room: Resources) {
+    pub fn raise_largest_capacity(&mut self, key: AgentKey, room: Resources) {
         let life = self.agents.get(key).and_then(|view| view.life.as_ref());
         let Some(life) = life else { return };
         let known = self.largest.entry(life.pool.clone()).or_default();
@@ -197,13 +197,13 @@
 
     /// What this entry has of an agent's pool.
     #[must_use]
-    pub fn pool_of(&self, key: AgentKey) -> PoolSeen {
-        let Some(life) = self.life(key) else { return PoolSeen::default() };
+    pub fn pool_view(&self, key: AgentKey) -> PoolView {
+        let Some(life) = self.life(key) else { return PoolView::default() };
         let is_of_pool = |agent: &&AgentView| {
             agent.is_linked() && agent.life.as_ref().is_some_and(|other| other.pool == life.pool)
         };
         let agents = self.agents.values().filter(is_of_pool).count();
-        PoolSeen {
+        PoolView {
             agents: u32::try_from(agents).unwrap_or(u32::MAX),
             largest: self.largest.get(&life.pool).copied().unwrap_or_default(),
         }
--- a/crates/decide/src/dispatch/crashes.rs
+++ b/crates/decide/src/dispatch/crashes.rs
@@ -3,7 +3,7 @@
 
 use {
     super::{
-        AgentKey, Dispatch, GiveUp, Job, JobAnswer, JobKey,
+        AgentKey, Dispatch, Job, JobAnswer, JobKey, NoResultReason,
         job::{Ending, SUSPECT_CRASHES},
     },
     crate::ledger::CRASHES_KEPT_MS,
@@ -115,7 +115,7 @@
 impl Dispatch {
     /// An agent tells of tasks under which upstreams crashed, whoever had placed them.
     /// Returns what is new of suspects, for all agents: they tell it to other entries.
-    pub fn crashes_told(&mut self, told: &[TaskCrashes], now_ms: u64) -> Vec<TaskCrashes> {
+    pub fn record_crash_reports(&mut self, told: &[TaskCrashes], now_ms: u64) -> Vec<TaskCrashes> {
         let mut suspects = Vec::new();
         for told in told {
             let &TaskCrashes { agent, task, crashes: count, .. } = told;
@@ -175,7 +175,7 @@
         if let Some(job) = self.jobs.get_mut(key) {
             job.judged_ms = Some(now_ms + JUDGED_AFTER_MS);
         }
-        self.end(key, Ending::GivenUp(GiveUp::Crashing));
+        self.end(key, Ending::GivenUp(NoResultReason::Crashing));
     }
 
     /// Judges jobs whose last crash is long enough ago.
@@ -197,7 +197,7 @@
         if is_judged && crashing.any(|task| self.crashes.is_likely_cause(task)) {
             JobAnswer::Failed
         } else {
-            JobAnswer::Unknown { why: GiveUp::Crashing }
+            JobAnswer::Unknown { reason: NoResultReason::Crashing }
         }
     }
 }
--- a/crates/decide/src/dispatch/evacuation.rs
+++ b/crates/decide/src/dispatch/evacuation.rs
@@ -5,7 +5,7 @@
 //! the word on, before queues elsewhere show it.
 
 use {
-    super::{AgentKey, AgentView, Dispatch, Ending, GiveUp},
+    super::{AgentKey, AgentView, Dispatch, Ending, NoResultReason},
     sycamorerail_wire::runs::Evacuations,
 };
 
@@ -54,7 +54,7 @@
         };
         let ended: Vec<_> = self.unplaced.iter().copied().filter(|&key| nowhere(key)).collect();
         for key in ended {
-            self.end(key, Ending::GivenUp(GiveUp::Evacuated));
+            self.end(key, Ending::GivenUp(NoResultReason::Evacuated));
         }
     }
 }
--- a/crates/decide/src/dispatch/job.rs
+++ b/crates/decide/src/dispatch/job.rs
@@ -128,7 +128,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
     /// Given up.
-    GivenUp(super::types::GiveUp),
+    GivenUp(super::types::NoResultReason),
     /// Answered already; what runs is being stopped.
     Answered,
 }
--- a/crates/decide/src/dispatch/mod.rs
+++ b/crates/decide/src/dispatch/mod.rs
@@ -25,8 +25,8 @@
     job::Job,
     stop::STOP_ANSWER_MS,
     types::{
-        AgentKey, Command, DispatchLimits, Forecast, GiveUp, JobAnswer, JobKey, JobRequest,
-        KindParameters, PoolSeen, StepRequest,
+        AgentKey, Command, DispatchLimits, JobAnswer, JobForecast, JobKey, JobRequest,
+        KindParameters, NoResultReason, PoolView, StepRequest,
     },
 };
 
@@ -88,7 +88,7 @@
     entry: Incarnation,
     /// When jobs must have ended, once a stop is planned.
     stops_ms: Option<u64>,
-    last_forecast: Forecast,
+    last_forecast: JobForecast,
 }
 
 impl Dispatch {
@@ -109,7 +109,7 @@
             crashes: Crashes::default(),
             commands: Vec::new(),
             stops_ms: None,
-            last_forecast: Forecast::default(),
+            last_forecast: JobForecast::default(),
         }
     }
 
@@ -126,20 +126,20 @@
 
     /// Jobs of a kind of which no task has begun.
     #[must_use]
-    pub fn pending(&self, kind: &str) -> usize {
+    pub fn unstarted_jobs(&self, kind: &str) -> usize {
         let of_kind = |job: &&Job| job.request.kind.name == kind && !job.may_have_run;
         self.jobs.values().filter(of_kind).count()
     }
 
     /// A job of this id that is not over.
     #[must_use]
-    pub fn find(&self, id: CallerJobId) -> Option<JobKey> {
+    pub fn find_job(&self, id: CallerJobId) -> Option<JobKey> {
         self.by_id.get(&id).copied()
     }
 
     /// The forecast by which the last job that was submitted was taken or refused.
     #[must_use]
-    pub fn last_forecast(&self) -> Forecast {
+    pub fn last_forecast(&self) -> JobForecast {
         self.last_forecast
     }
 
@@ -150,15 +150,15 @@
     ///
     /// The answer, when the job is turned away: nothing of it runs.
     pub fn submit(&mut self, request: JobRequest, now_ms: u64) -> Result<JobKey, JobAnswer> {
-        let refused = |why, retry_after_ms| JobAnswer::NotRun { why, retry_after_ms };
+        let refused = |reason, retry_after_ms| JobAnswer::NotRun { reason, retry_after_ms };
         // One that is refused without a forecast must not tell that of another job.
-        self.last_forecast = Forecast::default();
+        self.last_forecast = JobForecast::default();
         if self.by_id.contains_key(&request.id) {
             // The first may have run: "not run" would not be true.
-            return Err(JobAnswer::Unknown { why: GiveUp::Duplicate });
+            return Err(JobAnswer::Unknown { reason: NoResultReason::Duplicate });
         }
         if self.jobs.len() >= self.limits.max_jobs {
-            return Err(refused(GiveUp::Overload, NO_UPSTREAM_RETRY_MS));
+            return Err(refused(NoResultReason::Overload, NO_UPSTREAM_RETRY_MS));
         }
         let id = request.id;
         let mut job = Job::new(request);
@@ -170,14 +170,15 @@
         let forecast = self.forecast(&job, now_ms);
         self.last_forecast = forecast;
         if self.is_cut_off(&job, &forecast, now_ms) {
-            return Err(refused(GiveUp::Stopping, RETRY_MS.0 as u32));
+            return Err(refused(NoResultReason::Stopping, RETRY_MS.0 as u32));
         }
         if self.is_shed(&job, forecast.wait_ms, forecast.strain_percent) {
-            return Err(refused(GiveUp::Shed, SHED_RETRY_MS));
+            return Err(refused(NoResultReason::Shed, SHED_RETRY_MS));
         }
         if let Err(answer) = self.admit(&job, &forecast) {
             // What fits nowhere, or not here, says nothing about load.
-            let is_for_load = matches!(answer, JobAnswer::NotRun { why: GiveUp::Overload, .. });
+            let is_for_load =
+                matches!(answer, JobAnswer::NotRun { reason: NoResultReason::Overload, .. });
             if is_for_load {
                 self.kind(&kind.name).suffered(true, now_ms);
             }
@@ -261,7 +262,7 @@
     /// Ends a job whose caller has left or cancelled it.
     pub fn cancel(&mut self, key: JobKey) {
         if self.jobs.get(key).is_some_and(|job| job.ending.is_none()) {
-            self.end(key, Ending::GivenUp(GiveUp::Cancelled));
+            self.end(key, Ending::GivenUp(NoResultReason::Cancelled));
         }
     }
 
@@ -288,18 +289,18 @@
     /// Answers a job that is being ended, and forgets it.
     fn answer_ended(&mut self, key: JobKey) {
         let Some(job) = self.jobs.get(key) else { return };
-        if let Some(Ending::GivenUp(why)) = job.ending {
-            let retry_after_ms = match why {
-                GiveUp::Evacuated => EVACUATED_RETRY_MS,
+        if let Some(Ending::GivenUp(reason)) = job.ending {
+            let retry_after_ms = match reason {
+                NoResultReason::Evacuated => EVACUATED_RETRY_MS,
                 _ => RETRY_MS.0 as u32,
             };
             // What agents have not told of may have begun.
-            let answer = if why == GiveUp::Crashing {
+            let answer = if reason == NoResultReason::Crashing {
                 self.crash_answer(job, job.judged_ms.is_none())
             } else if job.may_have_run || job.has_placed() {
-                JobAnswer::Unknown { why }
+                JobAnswer::Unknown { reason }
             } else {
-                JobAnswer::NotRun { why, retry_after_ms }
+                JobAnswer::NotRun { reason, retry_after_ms }
             };
             self.commands.push(Command::Answer(key, answer));
         }
@@ -328,9 +329,10 @@
         let is_hopeless = |key: &JobKey| self.is_hopeless(*key, has_upstream, now_ms);
         let hopeless: Vec<_> = self.unplaced.iter().copied().filter(is_hopeless).collect();
         for key in hopeless {
-            let why = if has_upstream { GiveUp::TooLate } else { GiveUp::NoUpstream };
+            let reason =
+                if has_upstream { NoResultReason::TooLate } else { NoResultReason::NoUpstream };
             self.note_end(key, now_ms);
-            self.end(key, Ending::GivenUp(why));
+            self.end(key, Ending::GivenUp(reason));
         }
         let passed = |(_, job): &(JobKey, &Job)| {
             job.ending.is_none() && now_ms >= job.end_by_with_ms(has_upstream)
@@ -338,7 +340,7 @@
         let passed: Vec<_> = self.jobs.iter().filter(passed).map(|(key, _)| key).collect();
         for key in passed {
             self.note_end(key, now_ms);
-            self.end(key, Ending::GivenUp(GiveUp::TooLate));
+            self.end(key, Ending::GivenUp(NoResultReason::TooLate));
         }
     }
 }
--- a/crates/decide/src/dispatch/place.rs
+++ b/crates/decide/src/dispatch/place.rs
@@ -2,9 +2,9 @@
 
 use {
     super::{
-        AgentKey, AgentView, Asked, Command, Dispatch, EVACUATED_RETRY_MS, Expected, Forecast,
-        GiveUp, Job, JobAnswer, JobKey, NOT_HERE_RETRY_MS, Planned, RETRY_MS, SAME_END_MS,
-        SAME_ROOM_TASKS, StepRequest,
+        AgentKey, AgentView, Asked, Command, Dispatch, EVACUATED_RETRY_MS, Expected, Job,
+        JobAnswer, JobForecast, JobKey, NOT_HERE_RETRY_MS, NoResultReason, Planned, RETRY_MS,
+        SAME_END_MS, SAME_ROOM_TASKS, StepRequest,
         job::{Task, TaskState},
         kinds::KindRecord,
     },
@@ -22,28 +22,28 @@
 impl Dispatch {
     /// Whether the whole job can be in time, by what is known. One that would be late
     /// is better refused at once than done: its room goes to others that are in time.
-    pub(super) fn admit(&self, job: &Job, forecast: &Forecast) -> Result<(), JobAnswer> {
+    pub(super) fn admit(&self, job: &Job, forecast: &JobForecast) -> Result<(), JobAnswer> {
         if job.request.steps.iter().any(|wanted| self.never_fits(job, wanted)) {
             return Err(JobAnswer::Failed);
         }
         if self.is_pool_evacuated(&job.request.kind.pool) {
             let retry_after_ms = EVACUATED_RETRY_MS;
-            return Err(JobAnswer::NotRun { why: GiveUp::Evacuated, retry_after_ms });
+            return Err(JobAnswer::NotRun { reason: NoResultReason::Evacuated, retry_after_ms });
         }
         if job.request.steps.iter().any(|wanted| self.fits_only_elsewhere(job, wanted)) {
             let retry_after_ms = NOT_HERE_RETRY_MS;
-            return Err(JobAnswer::NotRun { why: GiveUp::NotHere, retry_after_ms });
+            return Err(JobAnswer::NotRun { reason: NoResultReason::NotHere, retry_after_ms });
         }
         if forecast.is_in_time() || forecast.is_late_without_harm() {
             return Ok(());
         }
         let retry_after_ms = forecast.wait_ms.clamp(RETRY_MS.0, RETRY_MS.1);
         let retry_after_ms = u32::try_from(retry_after_ms).unwrap_or(u32::MAX);
-        Err(JobAnswer::NotRun { why: GiveUp::Overload, retry_after_ms })
+        Err(JobAnswer::NotRun { reason: NoResultReason::Overload, retry_after_ms })
     }
 
     /// When the tasks that may be placed now will all have ended.
-    pub(super) fn forecast(&self, job: &Job, now_ms: u64) -> Forecast {
+    pub(super) fn forecast(&self, job: &Job, now_ms: u64) -> JobForecast {
         let steps = job.steps_to_place();
         let plans = steps.into_iter().flat_map(|step| self.plan(job, step, now_ms));
         let last = plans.max_by_key(|planned| planned.expected.end_ms);
@@ -52,7 +52,7 @@
         let late_ms = if wait_ms > 0 { self.lateness_ms(job, now_ms) } else { 0 };
         let admit_ms =
             if self.is_recovering(now_ms) { job.give_up_ms() } else { job.admit_ms(now_ms) };
-        Forecast {
+        JobForecast {
             end_in_ms,
             wait_ms,
             late_ms,
--- a/crates/decide/src/dispatch/stop.rs
+++ b/crates/decide/src/dispatch/stop.rs
@@ -3,7 +3,7 @@
 //! The process ends at a time that is set, whatever still runs. Callers whose jobs are not
 //! over by then would lose their connections, so each job is ended and answered before.
 
-use super::{Dispatch, Forecast, GiveUp, Job, job::Ending};
+use super::{Dispatch, Job, JobForecast, NoResultReason, job::Ending};
 
 /// Jobs that are given up for a stop are answered within this: an upstream takes 50 ms for a
 /// stop and lists its end within 40 ms, the rest is the way to agents and back.
@@ -12,7 +12,7 @@
 impl Dispatch {
     /// The entry stops: from now on jobs that cannot surely end by this time are refused.
     /// Those that run longer are given up then, and answered within [`STOP_ANSWER_MS`].
-    pub fn stop_by(&mut self, end_ms: u64) {
+    pub fn plan_stop(&mut self, end_ms: u64) {
         self.stops_ms = Some(end_ms);
     }
 
@@ -23,7 +23,7 @@
     }
 
     /// Whether a job may still run as jobs are given up for the stop.
-    pub(super) fn is_cut_off(&self, job: &Job, forecast: &Forecast, now_ms: u64) -> bool {
+    pub(super) fn is_cut_off(&self, job: &Job, forecast: &JobForecast, now_ms: u64) -> bool {
         let Some(stops_ms) = self.stops_ms else { return false };
         let kind = self.kinds.get(&job.request.kind.name).copied().unwrap_or_default();
         let surely_in_ms = whole_ms(job, forecast) as f64 * kind.sure_percent() / 100.0;
@@ -39,7 +39,7 @@
         let open = self.jobs.iter().filter(|(_, job)| job.ending.is_none());
         let open: Vec<_> = open.map(|(key, _)| key).collect();
         for key in open {
-            self.end(key, Ending::GivenUp(GiveUp::Stopping));
+            self.end(key, Ending::GivenUp(NoResultReason::Stopping));
         }
         if self.is_stopped(now_ms) {
             let left: Vec<_> = self.jobs.keys().collect();
@@ -50,6 +50,6 @@
 
 /// How long the whole job is expected to take: the forecast is of what may be placed now, and
 /// is 0 without an upstream.
-pub(super) fn whole_ms(job: &Job, forecast: &Forecast) -> u64 {
+pub(super) fn whole_ms(job: &Job, forecast: &JobForecast) -> u64 {
     forecast.end_in_ms.max(forecast.wait_ms + job.chain_ms())
 }
--- a/crates/decide/src/dispatch/types.rs
+++ b/crates/decide/src/dispatch/types.rs
@@ -15,7 +15,7 @@
 
 /// What an entry has of one pool of upstreams.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct PoolSeen {
+pub struct PoolView {
     /// Agents that are linked to it.
     pub agents: u32,
     /// The most of each that an upstream of the pool has, here or elsewhere.
@@ -102,7 +102,7 @@
 
 /// Why a job ended without its result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum GiveUp {
+pub enum NoResultReason {
     /// It could not end before its caller stops waiting.
     TooLate,
     /// Too much waits already.
@@ -125,7 +125,7 @@
     Duplicate,
 }
 
-impl GiveUp {
+impl NoResultReason {
     /// Label of counters and logs.
     #[must_use]
     pub fn name(self) -> &'static str {
@@ -154,20 +154,20 @@
     /// No task of it was started, and none will be.
     NotRun {
         /// Why.
-        why: GiveUp,
+        reason: NoResultReason,
         /// When to come back, in milliseconds.
         retry_after_ms: u32,
     },
     /// Some tasks were started; the job was given up.
     Unknown {
         /// Why.
-        why: GiveUp,
+        reason: NoResultReason,
     },
 }
 
 /// When a job is expected to end, as it comes. All times in milliseconds from then.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Forecast {
+pub struct JobForecast {
     /// Until its last task ends, by what agents told; 0 where no upstream is usable.
     pub end_in_ms: u64,
     /// Of these, until that task starts.
@@ -184,7 +184,7 @@
     pub stops_in_ms: Option<u64>,
 }
 
-impl Forecast {
+impl JobForecast {
     /// Whether the job can be in time.
     #[must_use]
     pub fn is_in_time(&self) -> bool {
--- a/crates/decide/src/job.rs
+++ b/crates/decide/src/job.rs
@@ -15,7 +15,9 @@
     sycamorerail_wire::answer::{Outcome, Payload, Reason, TaskEnd, TaskRecord},
 };
 
-pub use types::{Action, Again, Event, Pace, PlacementKey, Reply, TaskKey, Terms};
+pub use types::{
+    Action, Event, JobParameters, PlacementKey, Reply, RetryKind, RetryPacer, TaskAttempt,
+};
 
 /// Shortest time for which a refused attempt avoids the upstream, in
 /// milliseconds, so that it does not bounce there at once.
@@ -43,7 +45,7 @@
 /// One job at its home.
 #[derive(Debug)]
 pub struct Job {
-    terms: Terms,
+    parameters: JobParameters,
     phase: Phase,
     /// In the order of indices; further attempts of a request follow.
     attempts: Vec<Attempt>,
@@ -58,13 +60,13 @@
 }
 
 impl Job {
-    /// A job of which every task waits; enqueue each of [`Job::first_tasks`].
+    /// A job of which every task waits; enqueue each of [`Job::first_attempts`].
     #[must_use]
-    pub fn new(terms: Terms) -> Self {
-        let count = usize::from(terms.task_count);
-        let attempts = (0..terms.task_count).map(|index| Attempt::new(index, 0)).collect();
+    pub fn new(parameters: JobParameters) -> Self {
+        let count = usize::from(parameters.task_count);
+        let attempts = (0..parameters.task_count).map(|index| Attempt::new(index, 0)).collect();
         Self {
-            terms,
+            parameters,
             phase: Phase::Running,
             attempts,
             results: vec![None; count],
@@ -76,14 +78,14 @@
     }
 
     /// The first attempts of all tasks.
-    pub fn first_tasks(&self) -> impl Iterator<Item = TaskKey> + use<> {
-        (0..self.terms.task_count).map(|index| TaskKey { index, attempt: 0 })
+    pub fn first_attempts(&self) -> impl Iterator<Item = TaskAttempt> + use<> {
+        (0..self.parameters.task_count).map(|index| TaskAttempt { index, attempt: 0 })
     }
 
-    /// The terms.
+    /// The parameters.
     #[must_use]
-    pub fn terms(&self) -> &Terms {
-        &self.terms
+    pub fn parameters(&self) -> &JobParameters {
+        &self.parameters
     }
 
     /// Whether an answer was given.
@@ -94,7 +96,7 @@
 
     /// Whether the attempt still waits for an upstream.
     #[must_use]
-    pub fn wants(&self, task: TaskKey) -> bool {
+    pub fn is_waiting(&self, task: TaskAttempt) -> bool {
         self.phase == Phase::Running
             && self.attempt(task).is_some_and(|attempt| attempt.state == State::Waiting)
     }
@@ -102,7 +104,7 @@
     /// Upstreams that the attempt must avoid now: those which refused it, those
     /// at which another attempt is open, and those at which one has just ended.
     #[must_use]
-    pub fn avoid(&self, task: TaskKey, now_ms: u64) -> Vec<UpstreamKey> {
+    pub fn upstreams_to_avoid(&self, task: TaskAttempt, now_ms: u64) -> Vec<UpstreamKey> {
         let Some(attempt) = self.attempt(task) else {
             return Vec::new();
         };
@@ -115,13 +117,13 @@
 
     /// Takes leave to send a waiting attempt to `upstream`; `None` if it must
     /// not be placed any more.
-    pub fn place(
+    pub fn open_placement(
         &mut self,
-        task: TaskKey,
+        task: TaskAttempt,
         upstream: UpstreamKey,
         now_ms: u64,
     ) -> Option<PlacementKey> {
-        if !self.wants(task) || now_ms >= self.terms.deadline_at_ms {
+        if !self.is_waiting(task) || now_ms >= self.parameters.deadline_at_ms {
             return None;
         }
         let attempt = self.attempt_mut(task)?;
@@ -131,7 +133,7 @@
     /// Takes leave to send a placement without a reply once more, to the same
     /// run of the agent, which is there again. If there is none, ask by a
     /// revoke what became of it.
-    pub fn send_again(&mut self, placement: PlacementKey) -> bool {
+    pub fn resend_placement(&mut self, placement: PlacementKey) -> bool {
         let running = self.phase == Phase::Running;
         let attempt = self.attempt_mut(placement.task);
         let open = attempt.filter(|attempt| attempt.is_open(placement.serial));
@@ -150,15 +152,20 @@
             Phase::Stopping { decide_by_ms, .. } => Some(decide_by_ms),
             Phase::Running => {
                 let hedge_at_ms = self.hedge_at_ms(now_ms).unwrap_or(u64::MAX);
-                Some(self.terms.deadline_at_ms.min(hedge_at_ms))
+                Some(self.parameters.deadline_at_ms.min(hedge_at_ms))
             }
         }
     }
 
     /// Takes an event.
-    pub fn on(&mut self, event: Event, now_ms: u64, pace: &mut Pace<'_>) -> Vec<Action> {
+    pub fn handle_event(
+        &mut self,
+        event: Event,
+        now_ms: u64,
+        pacer: &mut RetryPacer<'_>,
+    ) -> Vec<Action> {
         let mut actions = Vec::new();
-        let mut turn = Turn { now_ms, pace, actions: &mut actions };
+        let mut turn = Turn { now_ms, pacer, actions: &mut actions };
         self.take(event, &mut turn);
         self.settle(&mut turn);
         actions
@@ -204,7 +211,13 @@
         }
     }
 
-    fn on_end(&mut self, task: TaskKey, peer: &Arc<str>, end: TaskEnd, turn: &mut Turn<'_, '_>) {
+    fn on_end(
+        &mut self,
+        task: TaskAttempt,
+        peer: &Arc<str>,
+        end: TaskEnd,
+        turn: &mut Turn<'_, '_>,
+    ) {
         match end {
             TaskEnd::Finished(payload) => {
                 self.set_state(task, State::Finished);
@@ -228,7 +241,7 @@
 
     fn on_broken(
         &mut self,
-        task: TaskKey,
+        task: TaskAttempt,
         reason: Reason,
         peer: &Arc<str>,
         turn: &mut Turn<'_, '_>,
@@ -308,7 +321,7 @@
     /// The attempt is proven not started where it was placed.
     fn return_to_queue(
         &mut self,
-        task: TaskKey,
+        task: TaskAttempt,
         avoid_until_ms: u64,
         cause: Reason,
         turn: &mut Turn<'_, '_>,
@@ -318,13 +331,13 @@
         let Some(attempt) = self.attempt_mut(task) else {
             return;
         };
-        let times = attempt.refused(avoid_until_ms);
+        let refusals = attempt.refused(avoid_until_ms);
         if !running || finished {
             attempt.state = State::Never;
             return;
         }
         attempt.state = State::Waiting;
-        let after_ms = (turn.pace)(Again::Refused { times }).unwrap_or(0);
+        let after_ms = (turn.pacer)(RetryKind::RefusedPlacement { refusals }).unwrap_or(0);
         turn.actions.push(Action::Enqueue { task, cause: Some(cause), after_ms });
     }
 
@@ -341,7 +354,7 @@
     fn on_report(
         &mut self,
         upstream: UpstreamKey,
-        task: TaskKey,
+        task: TaskAttempt,
         peer: &Arc<str>,
         record: TaskRecord,
         turn: &mut Turn<'_, '_>,
@@ -361,7 +374,7 @@
         }
     }
 
-    fn on_revoke_failed(&mut self, upstream: UpstreamKey, task: TaskKey) {
+    fn on_revoke_failed(&mut self, upstream: UpstreamKey, task: TaskAttempt) {
         if let Some(attempt) = self.attempt_mut(task)
             && attempt.is_open_at(upstream)
         {
@@ -370,7 +383,7 @@
     }
 
     fn on_tick(&mut self, turn: &mut Turn<'_, '_>) {
-        if turn.now_ms >= self.terms.deadline_at_ms {
+        if turn.now_ms >= self.parameters.deadline_at_ms {
             self.stop(Reason::DeadlinePassed, None, turn);
         } else if self.hedge_at_ms(turn.now_ms).is_some_and(|at_ms| turn.now_ms >= at_ms) {
             self.try_again(Reason::Hedged, turn);
@@ -380,8 +393,8 @@
     }
 
     fn hedge_at_ms(&self, now_ms: u64) -> Option<u64> {
-        let after_ms = u64::from(self.terms.hedge_after_ms?);
-        if self.attempts.len() != 1 || self.terms.max_attempts < 2 {
+        let after_ms = u64::from(self.parameters.hedge_after_ms?);
+        if self.attempts.len() != 1 || self.parameters.max_attempts < 2 {
             return None;
         }
         match self.attempts[0].state {
@@ -394,20 +407,21 @@
     /// Adds an attempt to a repeatable request, if it may still help.
     fn try_again(&mut self, cause: Reason, turn: &mut Turn<'_, '_>) {
         let waiting = self.attempts.iter().any(|attempt| attempt.state == State::Waiting);
-        let made = self.attempts.len();
+        let attempts_made = self.attempts.len();
         let may = self.phase == Phase::Running
-            && self.terms.task_count == 1
-            && made < usize::from(self.terms.max_attempts)
+            && self.parameters.task_count == 1
+            && attempts_made < usize::from(self.parameters.max_attempts)
             && !waiting
             && self.results[0].is_none()
-            && turn.now_ms < self.terms.deadline_at_ms;
-        let Some(made) = u8::try_from(made).ok().filter(|_| may) else {
+            && turn.now_ms < self.parameters.deadline_at_ms;
+        let Some(attempts_made) = u8::try_from(attempts_made).ok().filter(|_| may) else {
             return;
         };
-        let Some(after_ms) = (turn.pace)(Again::Attempt { cause, made }) else {
+        let Some(after_ms) = (turn.pacer)(RetryKind::FurtherAttempt { cause, attempts_made })
+        else {
             return;
         };
-        let attempt = Attempt::new(0, made);
+        let attempt = Attempt::new(0, attempts_made);
         turn.actions.push(Action::Enqueue { task: attempt.key, cause: Some(cause), after_ms });
         self.attempts.push(attempt);
     }
@@ -417,10 +431,10 @@
         if self.phase != Phase::Running {
             return;
         }
-        let wait_ms = u64::from(self.terms.report_wait_ms);
+        let wait_ms = u64::from(self.parameters.report_wait_ms);
         let decide_by_ms = if reason == Reason::Fenced {
             // What runs may well finish; only placing is over.
-            self.terms.deadline_at_ms.max(turn.now_ms) + wait_ms
+            self.parameters.deadline_at_ms.max(turn.now_ms) + wait_ms
         } else {
             turn.now_ms + wait_ms
         };
@@ -445,7 +459,7 @@
     }
 
     fn revoke_open(&mut self, turn: &mut Turn<'_, '_>, which: impl Fn(&Attempt) -> bool) {
-        let mut by_upstream: BTreeMap<UpstreamKey, Vec<TaskKey>> = BTreeMap::new();
+        let mut by_upstream: BTreeMap<UpstreamKey, Vec<TaskAttempt>> = BTreeMap::new();
         for attempt in self.attempts.iter_mut().filter(|attempt| which(attempt)) {
             if let Some(upstream) = attempt.revoke() {
                 by_upstream.entry(upstream).or_default().push(attempt.key);
@@ -475,7 +489,7 @@
     }
 
     fn drop_all_waiting(&mut self) {
-        for index in 0..self.terms.task_count {
+        for index in 0..self.parameters.task_count {
             self.drop_waiting(index);
         }
     }
@@ -484,34 +498,34 @@
         self.attempt(placement.task).is_some_and(|attempt| attempt.is_open(placement.serial))
     }
 
-    fn set_state(&mut self, task: TaskKey, state: State) {
+    fn set_state(&mut self, task: TaskAttempt, state: State) {
         if let Some(attempt) = self.attempt_mut(task) {
             attempt.state = state;
         }
     }
 
-    fn note_end(&mut self, task: TaskKey, now_ms: u64) {
+    fn note_end(&mut self, task: TaskAttempt, now_ms: u64) {
         if let Some(attempt) = self.attempt_mut(task) {
             attempt.ended_at_ms = now_ms;
         }
     }
 
-    fn attempt(&self, task: TaskKey) -> Option<&Attempt> {
+    fn attempt(&self, task: TaskAttempt) -> Option<&Attempt> {
         self.attempts.get(position(task)).filter(|attempt| attempt.key == task)
     }
 
-    fn attempt_mut(&mut self, task: TaskKey) -> Option<&mut Attempt> {
+    fn attempt_mut(&mut self, task: TaskAttempt) -> Option<&mut Attempt> {
         self.attempts.get_mut(position(task)).filter(|attempt| attempt.key == task)
     }
 }
 
 /// Either the attempt or the index is 0.
-fn position(task: TaskKey) -> usize {
+fn position(task: TaskAttempt) -> usize {
     usize::from(task.index) + usize::from(task.attempt)
 }
 
 struct Turn<'a, 'b> {
     now_ms: u64,
-    pace: &'a mut Pace<'b>,
+    pacer: &'a mut RetryPacer<'b>,
     actions: &'a mut Vec<Action>,
 }
--- a/crates/decide/src/job/attempt.rs
+++ b/crates/decide/src/job/attempt.rs
@@ -1,7 +1,7 @@
 //! One attempt at one task.
 
 use {
-    super::{PlacementKey, TaskKey},
+    super::{PlacementKey, TaskAttempt},
     crate::view::UpstreamKey,
 };
 
@@ -53,7 +53,7 @@
 /// One attempt at one task.
 #[derive(Debug)]
 pub(super) struct Attempt {
-    pub(super) key: TaskKey,
+    pub(super) key: TaskAttempt,
     pub(super) state: State,
     /// When it ended without a result.
     pub(super) ended_at_ms: u64,
@@ -66,7 +66,7 @@
 impl Attempt {
     pub(super) fn new(index: u16, attempt: u8) -> Self {
         Self {
-            key: TaskKey { index, attempt },
+            key: TaskAttempt { index, attempt },
             state: State::Waiting,
             ended_at_ms: 0,
             last_upstream: None,
--- a/crates/decide/src/job/types.rs
+++ b/crates/decide/src/job/types.rs
@@ -8,7 +8,7 @@
 
 /// What a job may do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Terms {
+pub struct JobParameters {
     /// Tasks of the job; one for a request.
     pub task_count: u16,
     /// Attempts at the one task, the first included; 1 unless the job is a
@@ -26,7 +26,7 @@
 
 /// One attempt at one task of the job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct TaskKey {
+pub struct TaskAttempt {
     /// Position in the job.
     pub index: u16,
     /// Number of the attempt.
@@ -37,7 +37,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct PlacementKey {
     /// What was sent.
-    pub task: TaskKey,
+    pub task: TaskAttempt,
     /// Number of the placement of this attempt.
     pub serial: u16,
 }
@@ -98,7 +98,7 @@
         /// Where it was revoked.
         upstream: UpstreamKey,
         /// The attempt.
-        task: TaskKey,
+        task: TaskAttempt,
         /// Name of the agent.
         peer: Arc<str>,
         /// What is known.
@@ -109,7 +109,7 @@
         /// Where it was to be revoked.
         upstream: UpstreamKey,
         /// The attempt.
-        task: TaskKey,
+        task: TaskAttempt,
     },
     /// The caller cancels.
     Cancel,
@@ -124,10 +124,10 @@
 /// What is to be done.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Find an upstream for a waiting attempt, then call [`Job::place`].
+    /// Find an upstream for a waiting attempt, then call [`Job::open_placement`].
     Enqueue {
         /// The attempt.
-        task: TaskKey,
+        task: TaskAttempt,
         /// Why it is not the first time, if so.
         cause: Option<Reason>,
         /// Pause before it is looked for, in milliseconds.
@@ -138,7 +138,7 @@
         /// Where they were placed.
         upstream: UpstreamKey,
         /// What to revoke.
-        tasks: Vec<TaskKey>,
+        tasks: Vec<TaskAttempt>,
     },
     /// Answer the caller. Given once, and once more where an `unknown` answer
     /// is made up for by late knowledge.
@@ -147,21 +147,21 @@
 
 /// What is asked of whoever paces repetitions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Again {
+pub enum RetryKind {
     /// An attempt that was proven not started is placed elsewhere.
-    Refused {
+    RefusedPlacement {
         /// How often that happened to this attempt, this time included.
-        times: u16,
+        refusals: u16,
     },
     /// A further attempt at a repeatable request.
-    Attempt {
+    FurtherAttempt {
         /// Why.
         cause: Reason,
         /// Attempts made so far.
-        made: u8,
+        attempts_made: u8,
     },
 }
 
 /// The pause before a repetition in milliseconds; `None` to make no further
 /// attempt. A refused attempt is placed again in any case.
-pub type Pace<'a> = dyn FnMut(Again) -> Option<u32> + 'a;
+pub type RetryPacer<'a> = dyn FnMut(RetryKind) -> Option<u32> + 'a;
--- a/crates/decide/src/job/verdict.rs
+++ b/crates/decide/src/job/verdict.rs
@@ -49,7 +49,7 @@
         if tally.failed > 0 {
             return Some(Outcome::Failed);
         }
-        if tally.finished == self.terms.task_count {
+        if tally.finished == self.parameters.task_count {
             return Some(Outcome::Complete);
         }
         match self.phase {
@@ -63,7 +63,7 @@
     }
 
     fn stopped_verdict(&self, tally: Tally, time_up: bool) -> Option<Outcome> {
-        if tally.never == self.terms.task_count {
+        if tally.never == self.parameters.task_count {
             return Some(Outcome::NotRun);
         }
         if tally.never > 0 && tally.finished + tally.started_without_end > 0 {
@@ -74,7 +74,7 @@
 
     pub(super) fn tally(&self) -> Tally {
         let mut tally = Tally::default();
-        for index in 0..self.terms.task_count {
+        for index in 0..self.parameters.task_count {
             match self.standing(index) {
                 Standing::Finished => tally.finished += 1,
                 Standing::Failed => tally.failed += 1,
@@ -110,7 +110,7 @@
 
     fn states_of(&self, index: u16) -> impl Iterator<Item = State> {
         let first = usize::from(index);
-        let last = if self.terms.task_count == 1 { self.attempts.len() } else { first + 1 };
+        let last = if self.parameters.task_count == 1 { self.attempts.len() } else { first + 1 };
         self.attempts[first..last].iter().map(|attempt| attempt.state)
     }
 
@@ -123,7 +123,7 @@
 
     /// Whether all of it waits at the entry: nothing has started, or was sent and may.
     #[must_use]
-    pub fn waits_whole(&self) -> bool {
+    pub fn is_entirely_waiting(&self) -> bool {
         let waits = |state| matches!(state, State::Waiting | State::Never);
         self.phase == Phase::Running && self.attempts.iter().all(|attempt| waits(attempt.state))
     }
@@ -173,7 +173,7 @@
         let mut answer = Answer::without_results(outcome, reason, step_of(reason));
         answer.peer = peer.map(|peer| peer.to_string());
         let comes_back = outcome != Outcome::Failed && reason != Reason::NeverPlaceable;
-        answer.retry_after_ms = comes_back.then_some(self.terms.retry_after_ms.into());
+        answer.retry_after_ms = comes_back.then_some(self.parameters.retry_after_ms.into());
         answer
     }
 }
--- a/crates/decide/tests/crashes.rs
+++ b/crates/decide/tests/crashes.rs
@@ -9,8 +9,8 @@
     },
     sycamorerail_decide::{
         dispatch::{
-            AgentKey, Command, Dispatch, DispatchLimits, GiveUp, JobAnswer, JobKey, JobRequest,
-            KindParameters, StepRequest,
+            AgentKey, Command, Dispatch, DispatchLimits, JobAnswer, JobKey, JobRequest,
+            KindParameters, NoResultReason, StepRequest,
         },
         ledger::{LeaseAnswer, Ledger, LedgerLimits, LifeEnd, StartAnswer},
     },
@@ -205,7 +205,7 @@
             slowness_percent: 100,
             ..UpstreamLoad::default()
         };
-        self.dispatch.report(agent, reports, load, u64::MAX, self.now_ms);
+        self.dispatch.handle_report(agent, reports, load, u64::MAX, self.now_ms);
     }
 
     fn tell(&mut self, task: TaskKey, event: RunEvent) {
@@ -273,7 +273,7 @@
         *known = (known.0 + 1, self.now_ms);
         let crashes = known.0;
         let told = TaskCrashes { agent: self.run_of(agent), task, crashes, ago_ms: 0 };
-        self.dispatch.crashes_told(&[told], self.now_ms);
+        self.dispatch.record_crash_reports(&[told], self.now_ms);
         self.tell(task, RunEvent::Crashed);
     }
 
@@ -292,7 +292,7 @@
         self.pass(10);
         for (&(agent, task), &(crashes, at_ms)) in &self.at_agents {
             let ago_ms = u32::try_from(self.now_ms - at_ms).unwrap();
-            self.dispatch.crashes_told(
+            self.dispatch.record_crash_reports(
                 &[TaskCrashes { agent: self.run_of(agent), task, crashes, ago_ms }],
                 self.now_ms,
             );
@@ -364,7 +364,11 @@
     (0..MOST_CRASHES).for_each(|_| site.crash_told(task(0)));
     site.replace_entry();
     site.submit(JOB, TASKS);
-    assert_eq!(site.answer(), Some(JobAnswer::Unknown { why: GiveUp::Crashing }), "not judged yet");
+    assert_eq!(
+        site.answer(),
+        Some(JobAnswer::Unknown { reason: NoResultReason::Crashing }),
+        "not judged yet"
+    );
     site.pass(JUDGED_MS);
     site.submit(JOB, TASKS);
     assert_eq!(site.answer(), Some(JobAnswer::Failed));
@@ -379,7 +383,7 @@
     for run in 0..3 {
         let told =
             TaskCrashes { agent: Incarnation(run), task: task(0), crashes: 1, ago_ms: 5_000 };
-        dispatch.crashes_told(&[told], 10);
+        dispatch.record_crash_reports(&[told], 10);
     }
     assert_eq!(dispatch.submit(request(JOB, 1, 10), 10), Err(JobAnswer::Failed));
 }
@@ -391,7 +395,7 @@
     site.start_all();
     for run in 0..3 {
         let told = TaskCrashes { agent: Incarnation(run), task: task(0), crashes: 1, ago_ms: 0 };
-        site.dispatch.crashes_told(&[told], site.now_ms);
+        site.dispatch.record_crash_reports(&[told], site.now_ms);
     }
     site.act();
     site.pass(JUDGED_MS);
@@ -403,16 +407,16 @@
 fn one_agent_is_enough_to_tell_of_a_suspect() {
     let mut first = entry_with(3, 100).0;
     let told = |run| TaskCrashes { agent: Incarnation(run), task: task(0), crashes: 1, ago_ms: 0 };
-    assert_eq!(first.crashes_told(&[told(0)], 100), [], "one crash makes no suspect");
-    let mut of_suspects = first.crashes_told(&[told(1)], 100);
-    of_suspects.extend(first.crashes_told(&[told(2)], 100));
+    assert_eq!(first.record_crash_reports(&[told(0)], 100), [], "one crash makes no suspect");
+    let mut of_suspects = first.record_crash_reports(&[told(1)], 100);
+    of_suspects.extend(first.record_crash_reports(&[told(2)], 100));
     let mut agent = Ledger::new(LedgerLimits::default());
     agent.crashes_told(&of_suspects, Incarnation(9), 100);
     let (known, _) = agent.crashes_after(0, Incarnation(9), 600);
     let mut next = entry_with(3, 600).0;
-    next.crashes_told(&known, 600);
+    next.record_crash_reports(&known, 600);
     assert_eq!(next.submit(request(JOB, 1, 600), 600), Err(JobAnswer::Failed));
-    assert_eq!(first.crashes_told(&known, 600), [], "what goes round comes to rest");
+    assert_eq!(first.record_crash_reports(&known, 600), [], "what goes round comes to rest");
 }
 
 #[test]
--- a/crates/decide/tests/dispatch.rs
+++ b/crates/decide/tests/dispatch.rs
@@ -4,8 +4,8 @@
 use {
     std::sync::Arc,
     sycamorerail_decide::dispatch::{
-        AgentKey, Command, Dispatch, DispatchLimits, GiveUp, JobAnswer, JobKey, JobRequest,
-        KindParameters, STOP_ANSWER_MS, StepRequest,
+        AgentKey, Command, Dispatch, DispatchLimits, JobAnswer, JobKey, JobRequest, KindParameters,
+        NoResultReason, STOP_ANSWER_MS, StepRequest,
     },
     sycamorerail_wire::{
         ids::Incarnation,
@@ -98,7 +98,7 @@
         let agent = dispatch.agent_connected(name, Incarnation(run), None, self.now_ms);
         dispatch.agent_ready(agent, self.now_ms);
         dispatch.set_life(agent, life(&[]));
-        dispatch.report(agent, &[], load, 0, self.now_ms);
+        dispatch.handle_report(agent, &[], load, 0, self.now_ms);
         agent
     }
 
@@ -113,7 +113,7 @@
     fn tell(&mut self, agent: AgentKey, task: TaskKey, run: u32, event: RunEvent) {
         self.reports += 1;
         let report = RunReport { number: self.reports, task, run, event };
-        self.dispatch.report(agent, &[report], load(0), 0, self.now_ms);
+        self.dispatch.handle_report(agent, &[report], load(0), 0, self.now_ms);
     }
 
     /// Time passes, and agents have heard and are heard before the tick.
@@ -121,7 +121,7 @@
         self.now_ms = now_ms;
         for &agent in agents {
             self.dispatch.message_sent(agent, None, now_ms);
-            self.dispatch.report(agent, &[], load(0), u64::MAX, now_ms);
+            self.dispatch.handle_report(agent, &[], load(0), u64::MAX, now_ms);
         }
         self.dispatch.tick(now_ms);
     }
@@ -175,8 +175,8 @@
     let (second, _) = site.placements().remove(0);
     assert_ne!(first, second);
     // Heard, and its load shows nothing taken: the task has ended.
-    site.dispatch.report(first, &[], load(0), 1, site.now_ms);
-    site.dispatch.report(second, &[], load(3_000), 0, site.now_ms);
+    site.dispatch.handle_report(first, &[], load(0), 1, site.now_ms);
+    site.dispatch.handle_report(second, &[], load(3_000), 0, site.now_ms);
     site.submit(job(3, vec![step(1)]));
     assert_eq!(site.placements()[0].0, first);
     assert!(agents.contains(&first));
@@ -247,14 +247,14 @@
     let withdrawn = RunEvent::NotStarted(NotStarted::Withdrawn);
     site.tell(agents[0], task(1, 0, 0), 1, withdrawn);
     let answer = site.answers().remove(0);
-    assert!(matches!(answer, JobAnswer::NotRun { why: GiveUp::Cancelled, .. }));
+    assert!(matches!(answer, JobAnswer::NotRun { reason: NoResultReason::Cancelled, .. }));
 
     let key = site.submit(job(2, vec![step(1)]));
     site.dispatch.cancel(key);
     site.dispatch.take_commands();
     site.tell(agents[0], task(2, 0, 0), 1, RunEvent::Started);
     site.tell(agents[0], task(2, 0, 0), 1, RunEvent::Stopped);
-    assert_eq!(site.answers(), [JobAnswer::Unknown { why: GiveUp::Cancelled }]);
+    assert_eq!(site.answers(), [JobAnswer::Unknown { reason: NoResultReason::Cancelled }]);
 }
 
 #[test]
@@ -262,9 +262,9 @@
     let (mut site, agents) = Site::new(&[9_000]);
     let waiting =
         UpstreamLoad { waiting: 90, waiting_milli_ms: [30_000_000, 0, 0, 0], ..load(9_000) };
-    site.dispatch.report(agents[0], &[], waiting, 0, site.now_ms);
+    site.dispatch.handle_report(agents[0], &[], waiting, 0, site.now_ms);
     let answer = site.refuse(job(1, vec![step(1)]));
-    let JobAnswer::NotRun { why: GiveUp::Overload, retry_after_ms } = answer else {
+    let JobAnswer::NotRun { reason: NoResultReason::Overload, retry_after_ms } = answer else {
         panic!("{answer:?}");
     };
     assert!((2_500..3_500).contains(&retry_after_ms), "{retry_after_ms}");
@@ -283,7 +283,7 @@
     let mut taken = 0;
     for number in 0..200_u32 {
         for &agent in &agents {
-            site.dispatch.report(agent, &[], full(number / 4), 0, site.now_ms);
+            site.dispatch.handle_report(agent, &[], full(number / 4), 0, site.now_ms);
         }
         taken += u32::from(site.dispatch.submit(job(number.into(), vec![step(2)]), 100).is_ok());
     }
@@ -318,7 +318,7 @@
     site.now_ms += 1;
     site.dispatch.tick(site.now_ms);
     let answer = site.answers().remove(0);
-    assert!(matches!(answer, JobAnswer::NotRun { why: GiveUp::NoUpstream, .. }));
+    assert!(matches!(answer, JobAnswer::NotRun { reason: NoResultReason::NoUpstream, .. }));
 }
 
 #[test]
@@ -326,9 +326,9 @@
     let (mut site, agents) = Site::new(&[0]);
     site.submit(job(1, vec![step(1)]));
     site.tell(agents[0], task(1, 0, 0), 1, RunEvent::NotStarted(NotStarted::NoRoom));
-    site.dispatch.report(agents[0], &[], load(10_000), 0, site.now_ms);
+    site.dispatch.handle_report(agents[0], &[], load(10_000), 0, site.now_ms);
     site.now_ms = 100 + 315;
-    site.dispatch.report(agents[0], &[], load(10_000), 0, site.now_ms);
+    site.dispatch.handle_report(agents[0], &[], load(10_000), 0, site.now_ms);
     site.dispatch.tick(site.now_ms);
     let stopped = site.dispatch.take_commands();
     let is_stop = |command: &Command| matches!(command, Command::Stop(..));
@@ -341,7 +341,7 @@
 fn a_job_that_was_held_up_runs_late_on_free_upstreams() {
     let (mut site, agents) = Site::new(&[0]);
     site.now_ms = 100 + 400;
-    site.dispatch.report(agents[0], &[], load(0), 0, site.now_ms);
+    site.dispatch.handle_report(agents[0], &[], load(0), 0, site.now_ms);
     site.submit(job(1, vec![step(1)]));
     assert_eq!(site.placements().len(), 1);
     site.tell(agents[0], task(1, 0, 0), 1, done());
@@ -355,7 +355,7 @@
     let (mut site, agents) = Site::new(&[0]);
     let waiting_milli_ms = [4_000_000, 0, 0, 0];
     let full = UpstreamLoad { waiting_milli_ms, waiting: 40, ..load(10_000) };
-    site.dispatch.report(agents[0], &[], full, 0, site.now_ms);
+    site.dispatch.handle_report(agents[0], &[], full, 0, site.now_ms);
     let unusable = UpstreamLoad { usable: false, ..load(0) };
     (1..4).for_each(|number| {
         site.connect(&format!("coming-{number}"), 1, unusable);
@@ -365,7 +365,10 @@
     site.now_ms += 2_000;
     site.connect("agent-0", 1, full);
     let late = JobRequest { arrived_ms: site.now_ms, deadline_ms: 9_000, ..job(9, vec![step(2)]) };
-    assert!(matches!(site.refuse(late), JobAnswer::NotRun { why: GiveUp::Overload, .. }));
+    assert!(matches!(
+        site.refuse(late),
+        JobAnswer::NotRun { reason: NoResultReason::Overload, .. }
+    ));
 }
 
 #[test]
@@ -382,7 +385,7 @@
     site.dispatch.tick(site.now_ms);
     assert!(site.placements().is_empty());
     site.dispatch.agent_ready(other, site.now_ms);
-    site.dispatch.report(other, &[], load(0), 0, site.now_ms);
+    site.dispatch.handle_report(other, &[], load(0), 0, site.now_ms);
     site.now_ms = 100 + 1_500;
     site.dispatch.tick(site.now_ms);
     let (agent, placement) = site.placements().remove(0);
@@ -400,7 +403,7 @@
     site.dispatch.agent_disconnected(agents[0]);
     site.dispatch.agent_connected(name, Incarnation(1), Some(&held), site.now_ms);
     site.dispatch.agent_ready(agents[0], site.now_ms);
-    site.dispatch.report(agents[0], &[], load(0), 0, site.now_ms);
+    site.dispatch.handle_report(agents[0], &[], load(0), 0, site.now_ms);
     let (_, placement) = site.placements().remove(0);
     assert_eq!((placement.tasks[0].index, placement.tasks[0].run), (1, 2));
 }
@@ -413,9 +416,9 @@
     site.dispatch.agent_connected("agent-0", Incarnation(2), None, site.now_ms);
     site.dispatch.agent_ready(agents[0], site.now_ms);
     let unclean = UpstreamLoad { usable: false, ..load(0) };
-    site.dispatch.report(agents[0], &[], unclean, 0, site.now_ms);
+    site.dispatch.handle_report(agents[0], &[], unclean, 0, site.now_ms);
     assert!(site.placements().is_empty());
-    site.dispatch.report(agents[0], &[], load(0), 0, site.now_ms);
+    site.dispatch.handle_report(agents[0], &[], load(0), 0, site.now_ms);
     assert_eq!(site.placements()[0].1.tasks[0].run, 2);
 }
 
@@ -434,7 +437,7 @@
     let (mut site, _) = Site::new(&[0]);
     site.submit(job(1, vec![step(1)]));
     let answer = site.refuse(job(1, vec![step(1)]));
-    assert_eq!(answer, JobAnswer::Unknown { why: GiveUp::Duplicate });
+    assert_eq!(answer, JobAnswer::Unknown { reason: NoResultReason::Duplicate });
 }
 
 #[test]
@@ -458,8 +461,8 @@
     let (mut site, agents) = Site::new(&[0, 0, 3_000]);
     let failing = UpstreamLoad { failing_percent: 60, ..load(0) };
     let slow = UpstreamLoad { slowness_percent: 400, ..load(0) };
-    site.dispatch.report(agents[0], &[], failing, 0, site.now_ms);
-    site.dispatch.report(agents[1], &[], slow, 0, site.now_ms);
+    site.dispatch.handle_report(agents[0], &[], failing, 0, site.now_ms);
+    site.dispatch.handle_report(agents[1], &[], slow, 0, site.now_ms);
     site.submit(job(1, vec![step(1)]));
     assert_eq!(site.placements()[0].0, agents[2]);
 }
@@ -472,7 +475,7 @@
     site.submit(job(1, vec![step(1)]));
     assert_eq!(site.placements()[0].0, agents[1]);
     let full = UpstreamLoad { waiting_milli_ms: [10_000_000, 0, 0, 0], ..load(10_000) };
-    site.dispatch.report(agents[1], &[], full, 0, site.now_ms);
+    site.dispatch.handle_report(agents[1], &[], full, 0, site.now_ms);
     site.submit(job(2, vec![step(1)]));
     assert_eq!(site.placements()[0].0, agents[0]);
 }
@@ -484,7 +487,7 @@
         site.dispatch.set_cold(agents[0], 500, site.now_ms);
         until_warm(&mut site, agents[0], &agents);
         let full = load(9_000);
-        site.dispatch.report(agents[1], &[], full, u64::MAX, site.now_ms);
+        site.dispatch.handle_report(agents[1], &[], full, u64::MAX, site.now_ms);
         site.submit(job(1, vec![step(1)]));
         site.placements()[0].0 == agents[0]
     };
@@ -523,8 +526,8 @@
     let (mut site, agents) = Site::new(&[9_000, 9_000]);
     let urgent = UpstreamLoad { waiting: 2, waiting_milli_ms: [600_000, 0, 0, 0], ..load(9_000) };
     let others = UpstreamLoad { waiting: 9, waiting_milli_ms: [0, 0, 2_700_000, 0], ..load(9_000) };
-    site.dispatch.report(agents[0], &[], urgent, 0, site.now_ms);
-    site.dispatch.report(agents[1], &[], others, 0, site.now_ms);
+    site.dispatch.handle_report(agents[0], &[], urgent, 0, site.now_ms);
+    site.dispatch.handle_report(agents[1], &[], others, 0, site.now_ms);
     site.submit(job(1, vec![step(1)]));
     assert_eq!(site.placements()[0].0, agents[1]);
 }
@@ -540,14 +543,14 @@
         placed.iter().any(|(agent, placement)| *agent == agents[0] && placement.tasks.len() > 3)
     );
     let waiting = UpstreamLoad { waiting: 3, waiting_milli_ms: [900_000, 0, 0, 0], ..load(9_000) };
-    site.dispatch.report(agents[0], &[], waiting, 9, site.now_ms);
+    site.dispatch.handle_report(agents[0], &[], waiting, 9, site.now_ms);
     site.now_ms += 20;
-    site.dispatch.report(agents[1], &[], load(0), 9, site.now_ms);
+    site.dispatch.handle_report(agents[1], &[], load(0), 9, site.now_ms);
     let recalls: Vec<_> = site.dispatch.take_commands();
     let [Command::Withdraw(at, tasks)] = &recalls[..] else { panic!("{recalls:?}") };
     assert_eq!((*at, tasks.len()), (agents[0], 1));
     let task = tasks[0];
-    site.dispatch.report(agents[1], &[], load(0), 9, site.now_ms);
+    site.dispatch.handle_report(agents[1], &[], load(0), 9, site.now_ms);
     let again = site.dispatch.take_commands();
     assert!(
         !again
@@ -556,7 +559,7 @@
     );
     let back = RunEvent::NotStarted(NotStarted::Withdrawn);
     let report = RunReport { number: 1, task, run: 1, event: back };
-    site.dispatch.report(agents[0], &[report], waiting, 9, site.now_ms);
+    site.dispatch.handle_report(agents[0], &[report], waiting, 9, site.now_ms);
     assert_eq!(site.placements()[0].0, agents[1]);
 }
 
@@ -575,8 +578,8 @@
         for agent in [at, other] {
             site.dispatch.agent_ready(agent, site.now_ms);
         }
-        site.dispatch.report(at, &[], waiting, 9, site.now_ms);
-        site.dispatch.report(other, &[], load(0), 9, site.now_ms);
+        site.dispatch.handle_report(at, &[], waiting, 9, site.now_ms);
+        site.dispatch.handle_report(other, &[], load(0), 9, site.now_ms);
         let commands = site.dispatch.take_commands();
         if commands.iter().any(|command| matches!(command, Command::Withdraw(..))) {
             recalls += 1;
@@ -594,7 +597,7 @@
     let (mut site, agents) = Site::new(&[0, 0]);
     for &agent in &agents {
         let failing = UpstreamLoad { failing_percent: 60, ..load(0) };
-        site.dispatch.report(agent, &[], failing, 0, site.now_ms);
+        site.dispatch.handle_report(agent, &[], failing, 0, site.now_ms);
     }
     site.submit(job(1, vec![step(4)]));
     let placed: usize = site.placements().iter().map(|(_, sent)| sent.tasks.len()).sum();
@@ -608,8 +611,8 @@
     let (mut site, agents) = Site::new(&[0, 9_000]);
     let some = UpstreamLoad { failing_percent: 25, ..load(0) };
     let queue = UpstreamLoad { waiting: 3, waiting_milli_ms: [900_000, 0, 0, 0], ..load(9_000) };
-    site.dispatch.report(agents[0], &[], some, 0, site.now_ms);
-    site.dispatch.report(agents[1], &[], queue, 0, site.now_ms);
+    site.dispatch.handle_report(agents[0], &[], some, 0, site.now_ms);
+    site.dispatch.handle_report(agents[1], &[], queue, 0, site.now_ms);
     site.submit(job(1, vec![step(1)]));
     assert_eq!(site.placements()[0].0, agents[0]);
 }
@@ -625,9 +628,12 @@
         running_milli_ms: 450_000,
         ..load(9_000)
     };
-    site.dispatch.report(agents[0], &[], waiting, 0, site.now_ms);
+    site.dispatch.handle_report(agents[0], &[], waiting, 0, site.now_ms);
     let answer = site.refuse(job(1, vec![step(4)]));
-    assert!(matches!(answer, JobAnswer::NotRun { why: GiveUp::Overload, .. }), "{answer:?}");
+    assert!(
+        matches!(answer, JobAnswer::NotRun { reason: NoResultReason::Overload, .. }),
+        "{answer:?}"
+    );
     site.submit(job(2, vec![step(1)]));
     // 900 before it, a third of 450 until its room is there, over ten cores.
     let forecast = site.dispatch.last_forecast();
@@ -644,7 +650,7 @@
     let ask = |site: &mut Site, id: u64, load: UpstreamLoad| {
         let (arrived_ms, deadline_ms) = (site.now_ms, site.now_ms + 2_000);
         site.dispatch.agent_ready(agents[0], site.now_ms);
-        site.dispatch.report(agents[0], &[], load, 0, site.now_ms);
+        site.dispatch.handle_report(agents[0], &[], load, 0, site.now_ms);
         let request = JobRequest { arrived_ms, deadline_ms, ..job(id, vec![step(1)]) };
         site.dispatch.submit(request, site.now_ms)
     };
@@ -658,7 +664,10 @@
         site.tell(agents[0], task(taken, 0, 0), 1, done());
         taken += 1;
     };
-    assert!(matches!(refused, JobAnswer::NotRun { why: GiveUp::Overload, .. }), "{refused:?}");
+    assert!(
+        matches!(refused, JobAnswer::NotRun { reason: NoResultReason::Overload, .. }),
+        "{refused:?}"
+    );
     assert!((3..=16).contains(&taken), "{taken}");
     assert!(ask(&mut site, 100, load(0)).is_ok());
     site.now_ms += 4_000;
@@ -743,12 +752,15 @@
 #[test]
 fn an_entry_that_stops_takes_what_surely_ends_by_then() {
     let (mut site, _) = Site::new(&[0, 0]);
-    site.dispatch.stop_by(site.now_ms + 250);
+    site.dispatch.plan_stop(site.now_ms + 250);
     site.submit(job(1, vec![step(1)]));
     site.now_ms += 100;
     let late = JobRequest { arrived_ms: site.now_ms, ..job(2, vec![step(1)]) };
     let refused = site.refuse(late);
-    assert!(matches!(refused, JobAnswer::NotRun { why: GiveUp::Stopping, .. }), "{refused:?}");
+    assert!(
+        matches!(refused, JobAnswer::NotRun { reason: NoResultReason::Stopping, .. }),
+        "{refused:?}"
+    );
 }
 
 /// One job after the other takes so many times its forecast of 100 ms.
@@ -768,17 +780,20 @@
 fn an_entry_that_stops_knows_how_long_jobs_take() {
     let (mut site, agents) = Site::new(&[0]);
     let ask = |site: &mut Site, id, left_ms| {
-        site.dispatch.stop_by(site.now_ms + left_ms);
+        site.dispatch.plan_stop(site.now_ms + left_ms);
         let (arrived_ms, deadline_ms) = (site.now_ms, site.now_ms + 60_000);
         let request = JobRequest { arrived_ms, deadline_ms, ..job(id, vec![step(1)]) };
         site.dispatch.submit(request, site.now_ms)
     };
     jobs_take(&mut site, agents[0], 0..40, 3);
     let refused = ask(&mut site, 1_000, 290).unwrap_err();
-    assert!(matches!(refused, JobAnswer::NotRun { why: GiveUp::Stopping, .. }), "{refused:?}");
+    assert!(
+        matches!(refused, JobAnswer::NotRun { reason: NoResultReason::Stopping, .. }),
+        "{refused:?}"
+    );
     assert!(ask(&mut site, 1_001, 400).is_ok());
     // Stops are not planned any more, and jobs are as quick as expected.
-    site.dispatch.stop_by(u64::MAX);
+    site.dispatch.plan_stop(u64::MAX);
     jobs_take(&mut site, agents[0], 2_000..2_400, 1);
     assert!(ask(&mut site, 3_000, 160).is_ok());
 }
@@ -787,20 +802,26 @@
 #[test]
 fn an_entry_that_stops_counts_the_steps_to_come() {
     let (mut site, _) = Site::new(&[0, 0]);
-    site.dispatch.stop_by(site.now_ms + 300);
+    site.dispatch.plan_stop(site.now_ms + 300);
     site.submit(job(1, vec![step(1)]));
     let then = StepRequest { after: vec![0], ..step(1) };
     let refused = site.refuse(job(2, vec![step(1), then]));
-    assert!(matches!(refused, JobAnswer::NotRun { why: GiveUp::Stopping, .. }), "{refused:?}");
+    assert!(
+        matches!(refused, JobAnswer::NotRun { reason: NoResultReason::Stopping, .. }),
+        "{refused:?}"
+    );
 }
 
 /// Without an upstream the forecast is 0, which is not how long the job takes.
 #[test]
 fn an_entry_that_stops_without_upstreams_counts_run_times() {
     let (mut site, _) = Site::new(&[]);
-    site.dispatch.stop_by(site.now_ms + 150);
+    site.dispatch.plan_stop(site.now_ms + 150);
     let refused = site.refuse(job(1, vec![step(1)]));
-    assert!(matches!(refused, JobAnswer::NotRun { why: GiveUp::Stopping, .. }), "{refused:?}");
+    assert!(
+        matches!(refused, JobAnswer::NotRun { reason: NoResultReason::Stopping, .. }),
+        "{refused:?}"
+    );
 }
 
 /// A job that takes longer than was expected of it must not be left without an answer.
@@ -811,14 +832,14 @@
     site.tell(agents[0], task(1, 0, 0), 1, RunEvent::Started);
     site.dispatch.take_commands();
     let stops_ms = site.now_ms + 250;
-    site.dispatch.stop_by(stops_ms);
+    site.dispatch.plan_stop(stops_ms);
     site.tick_at(stops_ms - 1, &agents);
     assert_eq!(site.dispatch.take_commands(), [], "it may end in time");
     site.tick_at(stops_ms, &agents);
     let stop = Command::Stop(agents[0], CallerJobId(1));
     assert_eq!(site.dispatch.take_commands(), [stop]);
     site.tell(agents[0], task(1, 0, 0), 1, RunEvent::Stopped);
-    assert_eq!(site.answers(), [JobAnswer::Unknown { why: GiveUp::Stopping }]);
+    assert_eq!(site.answers(), [JobAnswer::Unknown { reason: NoResultReason::Stopping }]);
 }
 
 /// An agent that cannot be reached must not hold an answer back beyond the stop.
@@ -827,12 +848,12 @@
     let (mut site, agents) = Site::new(&[0]);
     site.submit(job(1, vec![step(1)]));
     let stops_ms = site.now_ms + 250;
-    site.dispatch.stop_by(stops_ms);
+    site.dispatch.plan_stop(stops_ms);
     site.tick_at(stops_ms, &agents);
     assert_eq!(site.answers(), []);
     site.tick_at(stops_ms + STOP_ANSWER_MS, &agents);
     // Whether the task began is not known.
-    assert_eq!(site.answers(), [JobAnswer::Unknown { why: GiveUp::Stopping }]);
+    assert_eq!(site.answers(), [JobAnswer::Unknown { reason: NoResultReason::Stopping }]);
     assert_eq!(site.dispatch.job_count(), 0);
 }
 
@@ -841,13 +862,13 @@
 fn an_entry_that_stops_refuses_what_has_not_begun() {
     let (mut site, agents) = Site::new(&[0]);
     site.submit(job(1, vec![step(1)]));
-    site.dispatch.stop_by(site.now_ms + 250);
+    site.dispatch.plan_stop(site.now_ms + 250);
     site.tick_at(site.now_ms + 250, &agents);
     let withdrawn = RunEvent::NotStarted(NotStarted::Withdrawn);
     site.tell(agents[0], task(1, 0, 0), 1, withdrawn);
     let answers = site.answers();
     assert!(
-        matches!(answers[..], [JobAnswer::NotRun { why: GiveUp::Stopping, .. }]),
+        matches!(answers[..], [JobAnswer::NotRun { reason: NoResultReason::Stopping, .. }]),
         "{answers:?}"
     );
 }
--- a/crates/decide/tests/dispatch_links.rs
+++ b/crates/decide/tests/dispatch_links.rs
@@ -4,8 +4,8 @@
 use {
     std::{collections::BTreeSet, sync::Arc},
     sycamorerail_decide::dispatch::{
-        AgentKey, Command, Dispatch, DispatchLimits, GiveUp, JobAnswer, JobRequest, KindParameters,
-        PoolSeen, StepRequest,
+        AgentKey, Command, Dispatch, DispatchLimits, JobAnswer, JobRequest, KindParameters,
+        NoResultReason, PoolView, StepRequest,
     },
     sycamorerail_wire::{
         ids::Incarnation,
@@ -39,7 +39,7 @@
             slowness_percent: 100,
             ..UpstreamLoad::default()
         };
-        dispatch.report(agent, &[], load, 0, NOW_MS);
+        dispatch.handle_report(agent, &[], load, 0, NOW_MS);
         agent
     };
     let agents = (0..agents).map(connect).collect();
@@ -100,10 +100,10 @@
         dispatch.submit(job(number, 1_000, None), NOW_MS).unwrap();
     }
     assert_eq!(placed(&mut dispatch), [agents[1]; 4]);
-    assert_eq!(dispatch.pool_of(agents[1]).agents, 1);
+    assert_eq!(dispatch.pool_view(agents[1]).agents, 1);
     // Linked again, it is counted again.
     dispatch.agent_ready(agents[0], NOW_MS);
-    assert_eq!(dispatch.pool_of(agents[1]), PoolSeen { agents: 2, largest: CAPACITY });
+    assert_eq!(dispatch.pool_view(agents[1]), PoolView { agents: 2, largest: CAPACITY });
 }
 
 /// "Failed" would not be true: it can run at another entry.
@@ -112,9 +112,12 @@
     let (mut dispatch, agents) = entry(1, 2);
     let too_large = || job(1, 12_000, None);
     assert_eq!(dispatch.submit(too_large(), NOW_MS), Err(JobAnswer::Failed));
-    dispatch.set_largest(agents[0], LARGER);
+    dispatch.raise_largest_capacity(agents[0], LARGER);
     let answer = dispatch.submit(too_large(), NOW_MS);
-    assert!(matches!(answer, Err(JobAnswer::NotRun { why: GiveUp::NotHere, .. })), "{answer:?}");
+    assert!(
+        matches!(answer, Err(JobAnswer::NotRun { reason: NoResultReason::NotHere, .. })),
+        "{answer:?}"
+    );
     assert_eq!(dispatch.submit(job(2, 16_000, None), NOW_MS), Err(JobAnswer::Failed));
 }
 
@@ -123,5 +126,8 @@
 fn what_needs_a_label_of_another_entrys_agents_is_refused_at_once() {
     let (mut dispatch, _) = entry(1, 2);
     let answer = dispatch.submit(job(1, 1_000, Some("rack-3")), NOW_MS);
-    assert!(matches!(answer, Err(JobAnswer::NotRun { why: GiveUp::NotHere, .. })), "{answer:?}");
+    assert!(
+        matches!(answer, Err(JobAnswer::NotRun { reason: NoResultReason::NotHere, .. })),
+        "{answer:?}"
+    );
 }
--- a/crates/decide/tests/evacuation.rs
+++ b/crates/decide/tests/evacuation.rs
@@ -5,8 +5,8 @@
     std::sync::Arc,
     sycamorerail_decide::{
         dispatch::{
-            AgentKey, Command, Dispatch, DispatchLimits, GiveUp, JobAnswer, JobKey, JobRequest,
-            KindParameters, StepRequest,
+            AgentKey, Command, Dispatch, DispatchLimits, JobAnswer, JobKey, JobRequest,
+            KindParameters, NoResultReason, StepRequest,
         },
         ledger::{EndKind, Ended, LeaseAnswer, Ledger, LedgerLimits, StartAnswer},
     },
@@ -83,7 +83,7 @@
         slowness_percent: 100,
         ..UpstreamLoad::default()
     };
-    dispatch.report(agent, reports, load, u64::MAX, now_ms);
+    dispatch.handle_report(agent, reports, load, u64::MAX, now_ms);
 }
 
 fn hand_back(dispatch: &mut Dispatch, agent: AgentKey, placement: &StepPlacement, now_ms: u64) {
@@ -166,7 +166,7 @@
     dispatch.set_evacuations(evacuations(5, &["south"]), 100);
     let refused = dispatch.submit(job(1, 8, 100), 100).unwrap_err();
     assert!(
-        matches!(refused, JobAnswer::NotRun { why: GiveUp::Overload, .. }),
+        matches!(refused, JobAnswer::NotRun { reason: NoResultReason::Overload, .. }),
         "refused at once: {refused:?}"
     );
 }
@@ -176,7 +176,7 @@
     let (mut dispatch, _) = site(&["north", "south"]);
     dispatch.set_evacuations(evacuations(5, &["north", "south"]), 100);
     let refused = dispatch.submit(job(1, 1, 100), 100).unwrap_err();
-    let JobAnswer::NotRun { why: GiveUp::Evacuated, retry_after_ms } = refused else {
+    let JobAnswer::NotRun { reason: NoResultReason::Evacuated, retry_after_ms } = refused else {
         panic!("{refused:?}")
     };
     assert!(retry_after_ms >= 1_000);
@@ -192,7 +192,10 @@
     hand_back(&mut dispatch, agents[0], &placed[0].1, 111);
     dispatch.tick(120);
     let answer = answer(&mut dispatch, key);
-    assert!(matches!(answer, Some(JobAnswer::NotRun { why: GiveUp::Evacuated, .. })), "{answer:?}");
+    assert!(
+        matches!(answer, Some(JobAnswer::NotRun { reason: NoResultReason::Evacuated, .. })),
+        "{answer:?}"
+    );
 }
 
 #[test]
--- a/crates/decide/tests/fence_model.rs
+++ b/crates/decide/tests/fence_model.rs
@@ -13,7 +13,7 @@
             collect::{Collector, FenceTimes, Request},
         },
         gate::{Gate, Go, Limits, Placed, Settled, Start, UpstreamState},
-        job::{Action, Event, Job, PlacementKey, Reply, TaskKey, Terms},
+        job::{Action, Event, Job, JobParameters, PlacementKey, Reply, TaskAttempt},
         view::UpstreamKey,
     },
     sycamorerail_wire::{
@@ -84,8 +84,8 @@
 enum Message {
     Place { agent: usize, job: usize, key: PlacementKey },
     Placed { agent: usize, job: usize, key: PlacementKey, body: AgentReplyBody },
-    Revoke { agent: usize, job: usize, tasks: Vec<TaskKey> },
-    Revoked { agent: usize, job: usize, tasks: Vec<TaskKey>, reports: Vec<TaskReport> },
+    Revoke { agent: usize, job: usize, tasks: Vec<TaskAttempt> },
+    Revoked { agent: usize, job: usize, tasks: Vec<TaskAttempt>, reports: Vec<TaskReport> },
     Fence { fencer: usize, request: Request },
     Fenced { fencer: usize, request: Request, held: Vec<FencedJob> },
 }
@@ -104,7 +104,7 @@
     /// How much of the log the home has seen.
     seen: usize,
     jobs: Vec<Job>,
-    waiting: Vec<(usize, TaskKey)>,
+    waiting: Vec<(usize, TaskAttempt)>,
     home_says: Vec<Option<Answer>>,
     retired: bool,
     agents: Vec<Agent>,
@@ -137,7 +137,7 @@
         let address = "10.0.0.1:1".parse().unwrap();
         let organisation = OrganisationKey(1);
         let mint = |sequence| JobId::mint(&key, address, HOME, 1, sequence, organisation);
-        let terms = |(job, task_count): (usize, &u16)| Terms {
+        let parameters = |(job, task_count): (usize, &u16)| JobParameters {
             task_count: *task_count,
             max_attempts: if job == REQUEST { 3 } else { 1 },
             deadline_at_ms: DEADLINE_MS,
@@ -145,9 +145,9 @@
             report_wait_ms: 200,
             retry_after_ms: 10,
         };
-        let jobs: Vec<_> = JOBS.iter().enumerate().map(terms).map(Job::new).collect();
+        let jobs: Vec<_> = JOBS.iter().enumerate().map(parameters).map(Job::new).collect();
         let first = |(job, task_count): (usize, &u16)| {
-            (0..*task_count).map(move |index| (job, TaskKey { index, attempt: 0 }))
+            (0..*task_count).map(move |index| (job, TaskAttempt { index, attempt: 0 }))
         };
         let agent = |agent| {
             let mut gate = Gate::new(incarnation(agent), LIMITS);
@@ -235,13 +235,15 @@
         }
         let (job, task) = self.waiting.remove(index.index(self.waiting.len()));
         let agent = usable[index.index(usable.len())];
-        if let Some(key) = self.jobs[job].place(task, UpstreamKey(agent as u32), self.now_ms) {
+        if let Some(key) =
+            self.jobs[job].open_placement(task, UpstreamKey(agent as u32), self.now_ms)
+        {
             self.messages.push(Message::Place { agent, job, key });
         }
     }
 
     fn drive(&mut self, job: usize, event: Event) {
-        let actions = self.jobs[job].on(event, self.now_ms, &mut |_| Some(0));
+        let actions = self.jobs[job].handle_event(event, self.now_ms, &mut |_| Some(0));
         for action in actions {
             match action {
                 Action::Enqueue { task, .. } => self.waiting.push((job, task)),
@@ -304,7 +306,7 @@
         }
     }
 
-    fn placement(&self, agent: usize, job: usize, task: TaskKey) -> Placement {
+    fn placement(&self, agent: usize, job: usize, task: TaskAttempt) -> Placement {
         Placement {
             agent: incarnation(agent),
             task: TaskId { job: self.ids[job], index: task.index, attempt: task.attempt },
@@ -399,13 +401,13 @@
         self.drive(job, Event::Replied { placement: key, peer: "agent".into(), reply });
     }
 
-    fn agent_revoked(&mut self, at: usize, job: usize, tasks: Vec<TaskKey>) {
+    fn agent_revoked(&mut self, at: usize, job: usize, tasks: Vec<TaskAttempt>) {
         let upstream = UpstreamKey(at as u32);
         if !self.agents[at].alive {
             let failed = |task| Event::RevokeFailed { upstream, task };
             return tasks.into_iter().for_each(|task| self.drive(job, failed(task)));
         }
-        let id = |task: &TaskKey| TaskId {
+        let id = |task: &TaskAttempt| TaskId {
             job: self.ids[job],
             index: task.index,
             attempt: task.attempt,
@@ -418,7 +420,7 @@
         self.reply(at, &revoked.settled);
     }
 
-    fn home_reported(&mut self, at: usize, job: usize, tasks: &[TaskKey], told: &[TaskReport]) {
+    fn home_reported(&mut self, at: usize, job: usize, tasks: &[TaskAttempt], told: &[TaskReport]) {
         let upstream = UpstreamKey(at as u32);
         for &task in tasks {
             let is_of = |report: &&TaskReport| {
@@ -459,7 +461,7 @@
             Message::Place { agent, job, key } | Message::Placed { agent, job, key, .. } => {
                 self.agents[agent].waiters.retain(|(_, of, waits)| (*of, *waits) != (job, key));
                 self.drive(job, Event::ConnectionBroke { placement: key });
-                if self.jobs[job].send_again(key) {
+                if self.jobs[job].resend_placement(key) {
                     self.messages.push(Message::Place { agent, job, key });
                 } else {
                     let tasks = vec![key.task];
--- a/crates/decide/tests/job.rs
+++ b/crates/decide/tests/job.rs
@@ -3,7 +3,7 @@
 use {
     std::sync::Arc,
     sycamorerail_decide::{
-        job::{Action, Again, Event, Job, PlacementKey, Reply, TaskKey, Terms},
+        job::{Action, Event, Job, JobParameters, PlacementKey, Reply, RetryKind, TaskAttempt},
         view::UpstreamKey,
     },
     sycamorerail_wire::answer::{Answer, Outcome, Payload, Reason, TaskEnd, TaskRecord},
@@ -14,8 +14,8 @@
 const A: UpstreamKey = UpstreamKey(1);
 const B: UpstreamKey = UpstreamKey(2);
 
-fn terms(task_count: u16, max_attempts: u8) -> Terms {
-    Terms {
+fn parameters(task_count: u16, max_attempts: u8) -> JobParameters {
+    JobParameters {
         task_count,
         max_attempts,
         deadline_at_ms: DEADLINE_MS,
@@ -25,13 +25,13 @@
     }
 }
 
-fn task(index: u16, attempt: u8) -> TaskKey {
-    TaskKey { index, attempt }
+fn task(index: u16, attempt: u8) -> TaskAttempt {
+    TaskAttempt { index, attempt }
 }
 
 /// Hands over an event; further attempts are allowed.
 fn on(job: &mut Job, event: Event, now_ms: u64) -> Vec<Action> {
-    job.on(event, now_ms, &mut |_| Some(0))
+    job.handle_event(event, now_ms, &mut |_| Some(0))
 }
 
 fn replied(placement: PlacementKey, reply: Reply) -> Event {
@@ -51,7 +51,7 @@
     replied(placement, Reply::NotStarted { reason, never, retry_after_ms: 0 })
 }
 
-fn reported(upstream: UpstreamKey, task: TaskKey, record: TaskRecord) -> Event {
+fn reported(upstream: UpstreamKey, task: TaskAttempt, record: TaskRecord) -> Event {
     Event::Reported { upstream, task, peer: Arc::from("a"), record }
 }
 
@@ -66,15 +66,15 @@
     answer(actions).map(|answer| (answer.outcome, answer.reason))
 }
 
-fn is_placed_again(actions: &[Action], wanted: TaskKey) -> bool {
+fn is_placed_again(actions: &[Action], wanted: TaskAttempt) -> bool {
     actions.iter().any(|action| matches!(action, Action::Enqueue { task, .. } if *task == wanted))
 }
 
 #[test]
 fn all_finished() {
-    let mut job = Job::new(terms(2, 1));
-    let first = job.place(task(0, 0), A, 0).unwrap();
-    let second = job.place(task(1, 0), B, 0).unwrap();
+    let mut job = Job::new(parameters(2, 1));
+    let first = job.open_placement(task(0, 0), A, 0).unwrap();
+    let second = job.open_placement(task(1, 0), B, 0).unwrap();
     assert_eq!(on(&mut job, finished(second), 1), []);
     assert_eq!(on(&mut job, finished(second), 1), [], "a doubled reply");
     let actions = on(&mut job, finished(first), 2);
@@ -84,23 +84,23 @@
 
 #[test]
 fn first_failure() {
-    let mut job = Job::new(terms(3, 1));
-    let first = job.place(task(0, 0), A, 0).unwrap();
-    job.place(task(1, 0), B, 0).unwrap();
+    let mut job = Job::new(parameters(3, 1));
+    let first = job.open_placement(task(0, 0), A, 0).unwrap();
+    job.open_placement(task(1, 0), B, 0).unwrap();
     let actions = on(&mut job, failed(first, Reason::TaskFailed), 1);
     assert_eq!(verdict(&actions), Some((Outcome::Failed, Reason::TaskFailed)));
     assert!(actions.contains(&Action::Revoke { upstream: B, tasks: vec![task(1, 0)] }));
-    assert_eq!(job.place(task(2, 0), A, 2), None);
+    assert_eq!(job.open_placement(task(2, 0), A, 2), None);
 }
 
 #[test]
 fn refused_goes_elsewhere() {
-    let mut job = Job::new(terms(1, 1));
-    let first = job.place(task(0, 0), A, 0).unwrap();
+    let mut job = Job::new(parameters(1, 1));
+    let first = job.open_placement(task(0, 0), A, 0).unwrap();
     let actions = on(&mut job, refused(first, false), 1);
     assert!(is_placed_again(&actions, task(0, 0)));
-    assert_eq!(job.avoid(task(0, 0), 2), [A]);
-    let second = job.place(task(0, 0), B, 2).unwrap();
+    assert_eq!(job.upstreams_to_avoid(task(0, 0), 2), [A]);
+    let second = job.open_placement(task(0, 0), B, 2).unwrap();
     assert_ne!(first, second);
     assert_eq!(on(&mut job, finished(first), 3), [], "a late reply of the first placement");
     assert_eq!(verdict(&on(&mut job, finished(second), 3)).unwrap().0, Outcome::Complete);
@@ -108,22 +108,22 @@
 
 #[test]
 fn resent_needs_tombstone() {
-    let mut job = Job::new(terms(1, 1));
-    let first = job.place(task(0, 0), A, 0).unwrap();
+    let mut job = Job::new(parameters(1, 1));
+    let first = job.open_placement(task(0, 0), A, 0).unwrap();
     assert_eq!(on(&mut job, Event::ConnectionBroke { placement: first }, 1), []);
-    assert!(job.send_again(first));
+    assert!(job.resend_placement(first));
     let actions = on(&mut job, refused(first, false), 2);
     assert_eq!(actions, [Action::Revoke { upstream: A, tasks: vec![task(0, 0)] }]);
-    assert!(!job.send_again(first));
+    assert!(!job.resend_placement(first));
     let actions = on(&mut job, reported(A, task(0, 0), TaskRecord::NeverStarted), 3);
     assert!(is_placed_again(&actions, task(0, 0)));
 }
 
 #[test]
 fn other_run_of_agent() {
-    let mut job = Job::new(terms(2, 1));
-    let first = job.place(task(0, 0), A, 0).unwrap();
-    let second = job.place(task(1, 0), B, 0).unwrap();
+    let mut job = Job::new(parameters(2, 1));
+    let first = job.open_placement(task(0, 0), A, 0).unwrap();
+    let second = job.open_placement(task(1, 0), B, 0).unwrap();
     let lost = Event::AgentLost { placement: first, peer: Arc::from("a") };
     let actions = on(&mut job, lost, 1);
     assert_eq!(actions, [Action::Revoke { upstream: B, tasks: vec![task(1, 0)] }]);
@@ -137,8 +137,8 @@
 
 #[test]
 fn unreachable_agent() {
-    let mut job = Job::new(terms(1, 1));
-    let placed = job.place(task(0, 0), A, 0).unwrap();
+    let mut job = Job::new(parameters(1, 1));
+    let placed = job.open_placement(task(0, 0), A, 0).unwrap();
     assert_eq!(on(&mut job, Event::ConnectionBroke { placement: placed }, 1), []);
     let actions = on(&mut job, unreachable(placed), 2);
     assert_eq!(verdict(&actions), Some((Outcome::Unknown, Reason::AgentUnreachable)));
@@ -151,30 +151,30 @@
 
 #[test]
 fn other_attempt_awaited() {
-    let mut job = Job::new(terms(1, 2));
-    let first = job.place(task(0, 0), A, 0).unwrap();
+    let mut job = Job::new(parameters(1, 2));
+    let first = job.open_placement(task(0, 0), A, 0).unwrap();
     let actions = on(&mut job, unreachable(first), 1);
     assert!(is_placed_again(&actions, task(0, 1)));
     assert_eq!(verdict(&actions), None);
-    let second = job.place(task(0, 1), B, 1).unwrap();
+    let second = job.open_placement(task(0, 1), B, 1).unwrap();
     let actions = on(&mut job, failed(second, Reason::TaskFailed), 2);
     assert_eq!(verdict(&actions), Some((Outcome::Unknown, Reason::AgentUnreachable)));
 }
 
 #[test]
 fn reached_again() {
-    let mut job = Job::new(terms(1, 2));
-    let first = job.place(task(0, 0), A, 0).unwrap();
+    let mut job = Job::new(parameters(1, 2));
+    let first = job.open_placement(task(0, 0), A, 0).unwrap();
     on(&mut job, unreachable(first), 1);
-    let second = job.place(task(0, 1), B, 1).unwrap();
-    assert!(job.send_again(first));
+    let second = job.open_placement(task(0, 1), B, 1).unwrap();
+    assert!(job.resend_placement(first));
     assert_eq!(verdict(&on(&mut job, failed(second, Reason::TaskFailed), 2)), None);
     assert_eq!(verdict(&on(&mut job, finished(first), 3)).unwrap().0, Outcome::Complete);
 }
 
 #[test]
 fn deadline_unplaced() {
-    let mut job = Job::new(terms(2, 1));
+    let mut job = Job::new(parameters(2, 1));
     let actions = on(&mut job, Event::Tick, DEADLINE_MS);
     assert_eq!(verdict(&actions), Some((Outcome::NotRun, Reason::DeadlinePassed)));
     assert!(answer(&actions).unwrap().retry_after_ms.is_some());
@@ -192,8 +192,8 @@
         (TaskRecord::Broken(Reason::UpstreamBroken), Outcome::Unknown),
     ];
     for (record, outcome) in ends {
-        let mut job = Job::new(terms(1, 1));
-        job.place(task(0, 0), A, 0).unwrap();
+        let mut job = Job::new(parameters(1, 1));
+        job.open_placement(task(0, 0), A, 0).unwrap();
         let actions = on(&mut job, Event::Tick, DEADLINE_MS);
         assert_eq!(actions, [Action::Revoke { upstream: A, tasks: vec![task(0, 0)] }]);
         let actions = on(&mut job, reported(A, task(0, 0), record), DEADLINE_MS + 1);
@@ -203,8 +203,8 @@
 
 #[test]
 fn late_knowledge() {
-    let mut job = Job::new(terms(1, 1));
-    let placed = job.place(task(0, 0), A, 0).unwrap();
+    let mut job = Job::new(parameters(1, 1));
+    let placed = job.open_placement(task(0, 0), A, 0).unwrap();
     on(&mut job, Event::Tick, DEADLINE_MS);
     let until_ms = job.wake_at_ms(DEADLINE_MS).unwrap();
     assert_eq!(until_ms, DEADLINE_MS + u64::from(REPORT_WAIT_MS));
@@ -217,32 +217,35 @@
 
 #[test]
 fn fenced_home() {
-    let mut job = Job::new(terms(2, 1));
-    let placed = job.place(task(0, 0), A, 0).unwrap();
+    let mut job = Job::new(parameters(2, 1));
+    let placed = job.open_placement(task(0, 0), A, 0).unwrap();
     assert_eq!(on(&mut job, Event::Fenced, 1), [], "what runs may finish");
-    assert_eq!(job.place(task(1, 0), B, 2), None);
-    assert!(!job.send_again(placed));
+    assert_eq!(job.open_placement(task(1, 0), B, 2), None);
+    assert!(!job.resend_placement(placed));
     let actions = on(&mut job, finished(placed), 3);
     assert_eq!(verdict(&actions), Some((Outcome::Failed, Reason::Fenced)));
 }
 
 #[test]
 fn retries_end() {
-    let mut job = Job::new(terms(1, 2));
-    let first = job.place(task(0, 0), A, 0).unwrap();
+    let mut job = Job::new(parameters(1, 2));
+    let first = job.open_placement(task(0, 0), A, 0).unwrap();
     let actions = on(&mut job, failed(first, Reason::TaskFailed), 1);
     assert!(is_placed_again(&actions, task(0, 1)));
-    let second = job.place(task(0, 1), B, 1).unwrap();
+    let second = job.open_placement(task(0, 1), B, 1).unwrap();
     let actions = on(&mut job, failed(second, Reason::TaskFailed), 2);
     assert_eq!(verdict(&actions), Some((Outcome::Failed, Reason::TaskFailed)));
 }
 
 #[test]
 fn retry_refused() {
-    let mut job = Job::new(terms(1, 3));
-    let first = job.place(task(0, 0), A, 0).unwrap();
-    let actions = job.on(failed(first, Reason::TaskFailed), 1, &mut |again| {
-        assert_eq!(again, Again::Attempt { cause: Reason::TaskFailed, made: 1 });
+    let mut job = Job::new(parameters(1, 3));
+    let first = job.open_placement(task(0, 0), A, 0).unwrap();
+    let actions = job.handle_event(failed(first, Reason::TaskFailed), 1, &mut |retry| {
+        assert_eq!(
+            retry,
+            RetryKind::FurtherAttempt { cause: Reason::TaskFailed, attempts_made: 1 }
+        );
         None
     });
     assert_eq!(verdict(&actions), Some((Outcome::Failed, Reason::TaskFailed)));
@@ -250,13 +253,13 @@
 
 #[test]
 fn hedge_wins() {
-    let mut job = Job::new(Terms { hedge_after_ms: Some(50), ..terms(1, 3) });
-    let first = job.place(task(0, 0), A, 10).unwrap();
+    let mut job = Job::new(JobParameters { hedge_after_ms: Some(50), ..parameters(1, 3) });
+    let first = job.open_placement(task(0, 0), A, 10).unwrap();
     assert_eq!(job.wake_at_ms(10), Some(60));
     let actions = on(&mut job, Event::Tick, 60);
     assert!(is_placed_again(&actions, task(0, 1)));
-    assert_eq!(job.avoid(task(0, 1), 60), [A]);
-    let second = job.place(task(0, 1), B, 60).unwrap();
+    assert_eq!(job.upstreams_to_avoid(task(0, 1), 60), [A]);
+    let second = job.open_placement(task(0, 1), B, 60).unwrap();
     let actions = on(&mut job, finished(second), 70);
     assert_eq!(verdict(&actions).unwrap().0, Outcome::Complete);
     assert!(actions.contains(&Action::Revoke { upstream: A, tasks: vec![task(0, 0)] }));
--- a/crates/decide/tests/job_machine.rs
+++ b/crates/decide/tests/job_machine.rs
@@ -8,7 +8,7 @@
         sync::Arc,
     },
     sycamorerail_decide::{
-        job::{Action, Event, Job, PlacementKey, Reply, TaskKey, Terms},
+        job::{Action, Event, Job, JobParameters, PlacementKey, Reply, TaskAttempt},
         view::UpstreamKey,
     },
     sycamorerail_wire::answer::{Answer, Outcome, Payload, Reason, TaskEnd, TaskRecord},
@@ -95,22 +95,22 @@
 /// The agents as they are, whatever the home knows of them.
 #[derive(Default)]
 struct Fleet {
-    records: HashMap<(UpstreamKey, TaskKey), Known>,
-    starts: HashMap<TaskKey, u32>,
+    records: HashMap<(UpstreamKey, TaskAttempt), Known>,
+    starts: HashMap<TaskAttempt, u32>,
     gone: HashSet<UpstreamKey>,
 }
 
 struct Run {
     job: Job,
     now_ms: u64,
-    waiting: Vec<TaskKey>,
+    waiting: Vec<TaskAttempt>,
     /// Messages on their way to an agent.
     messages: Vec<(UpstreamKey, PlacementKey)>,
     /// Placements without a reply at the home.
     open: Vec<(UpstreamKey, PlacementKey)>,
     /// Refusals on their way back.
     refusals: HashMap<PlacementKey, bool>,
-    revokes: Vec<(UpstreamKey, TaskKey)>,
+    revokes: Vec<(UpstreamKey, TaskAttempt)>,
     answers: Vec<Answer>,
     fleet: Fleet,
     repeatable: bool,
@@ -119,7 +119,7 @@
 
 impl Run {
     fn new(task_count: u16, max_attempts: u8, hedge_after_ms: Option<u32>) -> Self {
-        let terms = Terms {
+        let parameters = JobParameters {
             task_count,
             max_attempts,
             deadline_at_ms: DEADLINE_MS,
@@ -127,9 +127,9 @@
             report_wait_ms: REPORT_WAIT_MS as u32,
             retry_after_ms: 500,
         };
-        let job = Job::new(terms);
+        let job = Job::new(parameters);
         Self {
-            waiting: job.first_tasks().collect(),
+            waiting: job.first_attempts().collect(),
             job,
             now_ms: 0,
             messages: Vec::new(),
@@ -143,8 +143,8 @@
         }
     }
 
-    fn on(&mut self, event: Event) {
-        let actions = self.job.on(event, self.now_ms, &mut |_| Some(0));
+    fn handle_event(&mut self, event: Event) {
+        let actions = self.job.handle_event(event, self.now_ms, &mut |_| Some(0));
         for action in actions {
             match action {
                 Action::Enqueue { task, .. } => {
@@ -163,12 +163,12 @@
         let Some(index) = pick(waiting, self.waiting.len()) else { return };
         let (task, upstream) = (self.waiting[index], UpstreamKey(agent));
         if self.fleet.gone.contains(&upstream)
-            || self.job.avoid(task, self.now_ms).contains(&upstream)
+            || self.job.upstreams_to_avoid(task, self.now_ms).contains(&upstream)
         {
             return;
         }
         self.waiting.remove(index);
-        let Some(placement) = self.job.place(task, upstream, self.now_ms) else { return };
+        let Some(placement) = self.job.open_placement(task, upstream, self.now_ms) else { return };
         assert!(!self.stopped && self.answers.is_empty(), "placed after the end");
         assert!(
             self.open.iter().all(|(_, other)| other.task != task),
@@ -231,8 +231,8 @@
         };
         self.open.remove(index);
         let event = Event::Replied { placement, peer: Arc::from("a"), reply };
-        self.on(event.clone());
-        self.on(event);
+        self.handle_event(event.clone());
+        self.handle_event(event);
     }
 
     /// Copies of the first message may still arrive later.
@@ -240,8 +240,8 @@
         let Some(index) = pick(placement, self.open.len()) else { return };
         let (upstream, placement) = self.open[index];
         self.refusals.remove(&placement);
-        self.on(Event::ConnectionBroke { placement });
-        if self.job.send_again(placement) {
+        self.handle_event(Event::ConnectionBroke { placement });
+        if self.job.resend_placement(placement) {
             assert!(!self.stopped && self.answers.is_empty(), "sent again after the end");
             self.messages.push((upstream, placement));
         }
@@ -250,8 +250,8 @@
     fn unreachable(&mut self, placement: usize) {
         let Some(index) = pick(placement, self.open.len()) else { return };
         let (_, placement) = self.open[index];
-        let was_awaited = self.job.send_again(placement);
-        self.on(Event::AgentUnreachable { placement, peer: Arc::from("a") });
+        let was_awaited = self.job.resend_placement(placement);
+        self.handle_event(Event::AgentUnreachable { placement, peer: Arc::from("a") });
         if was_awaited && !self.repeatable {
             // A task of a job has no other attempt to wait for.
             self.stopped = true;
@@ -269,7 +269,7 @@
         let lost: Vec<_> =
             self.open.extract_if(.., |(at, _)| *at == upstream).map(|(_, open)| open).collect();
         for placement in lost {
-            self.on(Event::AgentLost { placement, peer: Arc::from("a") });
+            self.handle_event(Event::AgentLost { placement, peer: Arc::from("a") });
         }
     }
 
@@ -277,7 +277,7 @@
         let Some(index) = pick(revoke, self.revokes.len()) else { return };
         let (upstream, task) = self.revokes.remove(index);
         if fails || self.fleet.gone.contains(&upstream) {
-            return self.on(Event::RevokeFailed { upstream, task });
+            return self.handle_event(Event::RevokeFailed { upstream, task });
         }
         let known = self.fleet.records.entry((upstream, task)).or_insert(Known::Tombstone);
         if *known == Known::Running {
@@ -289,7 +289,7 @@
             Known::Broken => TaskRecord::Broken(Reason::UpstreamBroken),
             Known::Running => TaskRecord::Running,
         };
-        self.on(Event::Reported { upstream, task, peer: Arc::from("a"), record });
+        self.handle_event(Event::Reported { upstream, task, peer: Arc::from("a"), record });
     }
 
     fn take(&mut self, step: Step) {
@@ -305,15 +305,15 @@
             Step::Tick { ms } => {
                 self.now_ms += ms;
                 self.stopped |= self.now_ms >= DEADLINE_MS;
-                self.on(Event::Tick);
+                self.handle_event(Event::Tick);
             }
             Step::Cancel => {
                 self.stopped = true;
-                self.on(Event::Cancel);
+                self.handle_event(Event::Cancel);
             }
             Step::Fence => {
                 self.stopped = true;
-                self.on(Event::Fenced);
+                self.handle_event(Event::Fenced);
             }
         }
         self.check();
@@ -325,7 +325,7 @@
             assert!(self.repeatable || task.attempt == 0, "{task:?} repeated");
         }
         let Some(last) = self.answers.last() else { return };
-        let count = usize::from(self.job.terms().task_count);
+        let count = usize::from(self.job.parameters().task_count);
         let expected = if last.outcome == Outcome::Complete { count } else { 0 };
         assert_eq!(last.results.len(), expected, "a partial answer");
         if last.outcome == Outcome::NotRun {
--- a/crates/decide/tests/shedding.rs
+++ b/crates/decide/tests/shedding.rs
@@ -4,8 +4,8 @@
 use {
     std::sync::Arc,
     sycamorerail_decide::dispatch::{
-        AgentKey, Dispatch, DispatchLimits, GiveUp, JobAnswer, JobKey, JobRequest, KindParameters,
-        StepRequest,
+        AgentKey, Dispatch, DispatchLimits, JobAnswer, JobKey, JobRequest, KindParameters,
+        NoResultReason, StepRequest,
     },
     sycamorerail_wire::{
         ids::Incarnation,
@@ -55,13 +55,13 @@
             slowness_percent: 100,
             ..UpstreamLoad::default()
         };
-        self.dispatch.report(self.agent, &[], load, 1, self.now_ms);
+        self.dispatch.handle_report(self.agent, &[], load, 1, self.now_ms);
     }
 
     /// Hands a job in; whether it was turned away for others.
     fn is_shed(&mut self, priority: u8, tasks: u16, run_ms: u32, stretch: f64) -> bool {
         let submitted = self.submit(priority, tasks, 1_000, run_ms, stretch);
-        matches!(submitted, Err(JobAnswer::NotRun { why: GiveUp::Shed, .. }))
+        matches!(submitted, Err(JobAnswer::NotRun { reason: NoResultReason::Shed, .. }))
     }
 
     fn submit(
--- a/crates/entry/src/dispatch/pace.rs
+++ b/crates/entry/src/dispatch/pace.rs
@@ -5,7 +5,7 @@
     crate::{counters, jobs::JobCell, shared::Shared},
     sycamorerail_decide::{
         hedge::{Hedge, RunningRequest, hedge},
-        job::{Again, Terms},
+        job::{JobParameters, RetryKind},
         retry::{FailedAttempt, backoff_ms, retry_after_ms},
     },
     sycamorerail_settings::template::Priority,
@@ -13,32 +13,41 @@
 };
 
 /// The pause before a repetition, `None` for no further attempt. Called with
-/// the job's state locked; `terms` are the job's.
+/// the job's state locked; `parameters` are the job's.
 #[must_use]
-pub fn pace(shared: &Shared, cell: &JobCell, terms: &Terms, again: Again) -> Option<u32> {
-    match again {
+pub fn pace(
+    shared: &Shared,
+    cell: &JobCell,
+    parameters: &JobParameters,
+    retry: RetryKind,
+) -> Option<u32> {
+    match retry {
         // Another upstream may well take it: the first time it goes at once.
-        Again::Refused { times: 0 | 1 } => Some(0),
-        Again::Refused { times } => {
-            let repetitions = u8::try_from(times - 1).unwrap_or(u8::MAX);
+        RetryKind::RefusedPlacement { refusals: 0 | 1 } => Some(0),
+        RetryKind::RefusedPlacement { refusals } => {
+            let repetitions = u8::try_from(refusals - 1).unwrap_or(u8::MAX);
             Some(narrow(backoff_ms(repetitions, 0, &mut rand::rng())))
         }
-        Again::Attempt { cause: Reason::Hedged, made } => may_hedge(shared, cell, terms, made),
-        Again::Attempt { cause, made } => may_retry(shared, cell, terms, (cause, made)),
+        RetryKind::FurtherAttempt { cause: Reason::Hedged, attempts_made } => {
+            may_hedge(shared, cell, parameters, attempts_made)
+        }
+        RetryKind::FurtherAttempt { cause, attempts_made } => {
+            may_retry(shared, cell, parameters, (cause, attempts_made))
+        }
     }
 }
 
 fn may_retry(
     shared: &Shared,
     cell: &JobCell,
-    terms: &Terms,
-    (reason, made): (Reason, u8),
+    parameters: &JobParameters,
+    (reason, attempts_made): (Reason, u8),
 ) -> Option<u32> {
     let failed = FailedAttempt {
         repeatable: cell.is_repeatable(),
-        attempts: made,
-        max_attempts: terms.max_attempts,
-        left_ms: terms.deadline_at_ms.saturating_sub(shared.now_ms()),
+        attempts: attempts_made,
+        max_attempts: parameters.max_attempts,
+        left_ms: parameters.deadline_at_ms.saturating_sub(shared.now_ms()),
         least_run_ms: numbers(shared, &cell.kind).least_run_ms.into(),
         reason,
     };
@@ -51,17 +60,22 @@
     }
 }
 
-fn may_hedge(shared: &Shared, cell: &JobCell, terms: &Terms, made: u8) -> Option<u32> {
+fn may_hedge(
+    shared: &Shared,
+    cell: &JobCell,
+    parameters: &JobParameters,
+    attempts_made: u8,
+) -> Option<u32> {
     let numbers = numbers(shared, &cell.kind);
     let running = RunningRequest {
         repeatable: cell.is_repeatable(),
         prefers_time: cell.kind.priority == Priority::Time,
         slow_after_us: cell.slow_after_us,
-        attempts: made,
-        max_attempts: terms.max_attempts,
+        attempts: attempts_made,
+        max_attempts: parameters.max_attempts,
         // The state machine has waited for as long as the kind asks.
         placed_at_ms: 0,
-        deadline_ms: terms.deadline_at_ms,
+        deadline_ms: parameters.deadline_at_ms,
     };
     let has_free_slot = numbers.forecast.free_slots > shared.dispatch.waiting();
     let decided = hedge(&running, &cell.retries, has_free_slot, shared.now_ms());
--- a/crates/entry/src/dispatch/place.rs
+++ b/crates/entry/src/dispatch/place.rs
@@ -12,7 +12,7 @@
         upstreams::{self, Agent, Snapshot},
     },
     std::sync::Arc,
-    sycamorerail_decide::{job::TaskKey, placement::Choice, view::UpstreamKey},
+    sycamorerail_decide::{job::TaskAttempt, placement::Choice, view::UpstreamKey},
 };
 
 /// Choices made anew where another thread took the slot first.
@@ -30,12 +30,12 @@
     Wait { restricted: bool },
 }
 
-pub(super) fn try_place(shared: &Arc<Shared>, cell: &Arc<JobCell>, task: TaskKey) -> Tried {
+pub(super) fn try_place(shared: &Arc<Shared>, cell: &Arc<JobCell>, task: TaskAttempt) -> Tried {
     let snapshot = shared.upstreams.snapshot();
     let now_ms = shared.now_ms();
     let (wanted, avoid) = {
         let job = cell.state.lock();
-        (job.wants(task), job.avoid(task, now_ms))
+        (job.is_waiting(task), job.upstreams_to_avoid(task, now_ms))
     };
     if !wanted {
         return Tried::Dropped;
@@ -58,7 +58,7 @@
     shared: &Arc<Shared>,
     snapshot: &Snapshot,
     cell: &Arc<JobCell>,
-    task: TaskKey,
+    task: TaskAttempt,
     key: UpstreamKey,
 ) -> Tried {
     let Some(agent) = snapshot.agent(key) else {
@@ -77,7 +77,7 @@
     shared: &Arc<Shared>,
     snapshot: &Snapshot,
     cell: &Arc<JobCell>,
-    task: TaskKey,
+    task: TaskAttempt,
     key: UpstreamKey,
 ) -> Option<Tried> {
     let agent = snapshot.agent(key)?;
@@ -98,10 +98,10 @@
     shared: &Arc<Shared>,
     cell: &Arc<JobCell>,
     agent: &Arc<Agent>,
-    task: TaskKey,
+    task: TaskAttempt,
     probe: bool,
 ) -> Tried {
-    let placed = cell.state.lock().place(task, agent.key, shared.now_ms());
+    let placed = cell.state.lock().open_placement(task, agent.key, shared.now_ms());
     let Some(placement) = placed else {
         agent.end_placement();
         return Tried::Dropped;
--- a/crates/entry/src/dispatch/probe.rs
+++ b/crates/entry/src/dispatch/probe.rs
@@ -4,7 +4,7 @@
     super::observe::take_probe,
     crate::{jobs::JobCell, shared::Shared, upstreams::Snapshot},
     std::sync::atomic::Ordering,
-    sycamorerail_decide::{job::TaskKey, view::UpstreamKey},
+    sycamorerail_decide::{job::TaskAttempt, view::UpstreamKey},
 };
 
 /// The ejected upstream that this attempt is to probe, if any. Only a request
@@ -13,7 +13,7 @@
     shared: &Shared,
     snapshot: &Snapshot,
     cell: &JobCell,
-    task: TaskKey,
+    task: TaskAttempt,
     avoid: &[UpstreamKey],
 ) -> Option<UpstreamKey> {
     if !cell.is_repeatable() || task.attempt > 0 || cell.kind.max_attempts < 2 {
--- a/crates/entry/src/dispatch/queue.rs
+++ b/crates/entry/src/dispatch/queue.rs
@@ -23,7 +23,7 @@
         admission::{forecast::DrainRate, is_evacuated},
         ejection::Ejections,
         estimate::Estimates,
-        job::{Event, TaskKey},
+        job::{Event, TaskAttempt},
         queue::{Backlog, Queue, Rank},
     },
     sycamorerail_settings::entry::LimitSettings,
@@ -45,7 +45,7 @@
 #[derive(Debug)]
 struct Waiting {
     cell: Arc<JobCell>,
-    task: TaskKey,
+    task: TaskAttempt,
 }
 
 /// Tasks that wait at the entry, and what is known for placing them.
@@ -157,7 +157,7 @@
 }
 
 /// Places a waiting task now, or when there is room.
-pub fn enqueue(shared: &Arc<Shared>, cell: &Arc<JobCell>, task: TaskKey) {
+pub fn enqueue(shared: &Arc<Shared>, cell: &Arc<JobCell>, task: TaskAttempt) {
     let dispatch = &shared.dispatch;
     let behind_others = dispatch.waiting() > 0 && dispatch.has_others(cell);
     if !behind_others && !matches!(try_place(shared, cell, task), Tried::Wait { .. }) {
@@ -172,14 +172,14 @@
 }
 
 /// Places a waiting task after a pause.
-pub fn enqueue_after(shared: &Arc<Shared>, cell: &Arc<JobCell>, task: TaskKey, after_ms: u32) {
+pub fn enqueue_after(shared: &Arc<Shared>, cell: &Arc<JobCell>, task: TaskAttempt, after_ms: u32) {
     if after_ms == 0 {
         return enqueue(shared, cell, task);
     }
     let (shared, cell) = (Arc::clone(shared), Arc::clone(cell));
     tokio::spawn(async move {
         tokio::time::sleep(Duration::from_millis(after_ms.into())).await;
-        if cell.state.lock().wants(task) {
+        if cell.state.lock().is_waiting(task) {
             enqueue(&shared, &cell, task);
         }
     });
@@ -305,13 +305,13 @@
         let given_up = {
             let mut queue = shared.dispatch.queue.lock();
             let given_up = queue.take(usize::MAX, |_, waiting| {
-                is_nowhere(&waiting.cell) && waiting.cell.state.lock().waits_whole()
+                is_nowhere(&waiting.cell) && waiting.cell.state.lock().is_entirely_waiting()
             });
             shared.dispatch.note_count(&queue);
             given_up
         };
         let Some((_, waiting)) = given_up else { return };
-        if waiting.cell.state.lock().wants(waiting.task) {
+        if waiting.cell.state.lock().is_waiting(waiting.task) {
             drive(shared, &waiting.cell, Event::GiveUp(Reason::Evacuated));
         }
     }
@@ -328,7 +328,7 @@
         let Some((_, waiting)) = late else {
             return;
         };
-        if waiting.cell.state.lock().wants(waiting.task) {
+        if waiting.cell.state.lock().is_waiting(waiting.task) {
             drive(shared, &waiting.cell, Event::GiveUp(Reason::DeadlineUnreachable));
         }
     }
--- a/crates/entry/src/jobs/cell.rs
+++ b/crates/entry/src/jobs/cell.rs
@@ -10,7 +10,7 @@
     std::sync::{Arc, atomic::AtomicBool},
     sycamorerail_decide::{
         admission::limit::OrganisationLimit,
-        job::{Job, Terms},
+        job::{Job, JobParameters},
         queue::WaitingKey,
         retry::RetryBudget,
         view::RackKey,
@@ -85,7 +85,7 @@
             submission.deadline_ms.map_or(kind.deadline_ms, |asked| asked.min(kind.deadline_ms));
         let deadline_at_ms = now_ms + u64::from(deadline_ms);
         let repeatable = submission.unit == Unit::Request && kind.repeatable;
-        let terms = Terms {
+        let parameters = JobParameters {
             task_count: u16::try_from(submission.payloads.len()).unwrap_or(u16::MAX),
             max_attempts: if repeatable { kind.max_attempts } else { 1 },
             deadline_at_ms,
@@ -109,7 +109,7 @@
             released: AtomicBool::new(false),
             queued: Mutex::new(Vec::new()),
             organisation,
-            state: Mutex::new(Job::new(terms)),
+            state: Mutex::new(Job::new(parameters)),
             siblings: Mutex::new(Vec::new()),
             answer: watch::Sender::new(None),
         }
--- a/crates/entry/src/jobs/drive.rs
+++ b/crates/entry/src/jobs/drive.rs
@@ -15,7 +15,7 @@
 /// Starts a job that was just accepted.
 pub(super) fn start(shared: &Arc<Shared>, cell: &Arc<JobCell>) {
     timer::watch(shared, cell);
-    let first = cell.state.lock().first_tasks();
+    let first = cell.state.lock().first_attempts();
     for task in first {
         dispatch::enqueue(shared, cell, task);
     }
@@ -27,8 +27,10 @@
     let now_ms = shared.now_ms();
     let actions = {
         let mut job = cell.state.lock();
-        let terms = *job.terms();
-        job.on(event, now_ms, &mut |again| dispatch::pace(shared, cell, &terms, again))
+        let parameters = *job.parameters();
+        job.handle_event(event, now_ms, &mut |retry| {
+            dispatch::pace(shared, cell, &parameters, retry)
+        })
     };
     for action in actions {
         act(shared, cell, action);
@@ -86,7 +88,7 @@
     );
 }
 
-fn shows_start(event: &Event) -> Option<(sycamorerail_decide::job::TaskKey, &str)> {
+fn shows_start(event: &Event) -> Option<(sycamorerail_decide::job::TaskAttempt, &str)> {
     match event {
         Event::Replied { placement, peer, reply: Reply::Ended(_) | Reply::Broken(_) } => {
             Some((placement.task, peer))
--- a/crates/entry/src/runs/links.rs
+++ b/crates/entry/src/runs/links.rs
@@ -13,7 +13,7 @@
         },
         time::Duration,
     },
-    sycamorerail_decide::dispatch::{AgentKey, Dispatch, PoolSeen},
+    sycamorerail_decide::dispatch::{AgentKey, Dispatch, PoolView},
     sycamorerail_telemetry::event,
     sycamorerail_wire::{
         frames::{self, FrameError, FrameReader, FrameWriter},
@@ -146,7 +146,12 @@
         let agent = service.change(|dispatch, now_ms| {
             if same {
                 // What became of runs goes before what is held no more.
-                dispatch.take_reports(&hello.name, hello.agent, &hello.unconfirmed_reports, now_ms);
+                dispatch.apply_resent_reports(
+                    &hello.name,
+                    hello.agent,
+                    &hello.unconfirmed_reports,
+                    now_ms,
+                );
             }
             let agent = dispatch.agent_connected(&hello.name, hello.agent, held, now_ms);
             dispatch.set_data_centre(agent, &hello.data_centre);
@@ -225,7 +230,7 @@
                 let last = reports.last().map_or(0, |report| report.number);
                 self.confirmed.fetch_max(last, Ordering::AcqRel);
                 self.service.change(|dispatch, now_ms| {
-                    dispatch.report(self.agent, &reports, load, heard, now_ms);
+                    dispatch.handle_report(self.agent, &reports, load, heard, now_ms);
                 });
             }
             FromRunsAgent::Upstream(life) => {
@@ -242,7 +247,8 @@
                 self.service.set_linked(self.agent, connected, named);
             }
             FromRunsAgent::LargestCapacity(room) => {
-                self.service.change(|dispatch, _| dispatch.set_largest(self.agent, room));
+                self.service
+                    .change(|dispatch, _| dispatch.raise_largest_capacity(self.agent, room));
             }
             FromRunsAgent::Unlink => {
                 event!(Info, "agent_unlinks", agent = self.name);
@@ -280,7 +286,7 @@
         event!(Info, "crashes_told", agent = self.name, tasks = told.len());
         let service = &self.service;
         service.change(|dispatch, now_ms| {
-            let suspects = dispatch.crashes_told(told, now_ms);
+            let suspects = dispatch.record_crash_reports(told, now_ms);
             if !suspects.is_empty() {
                 service.links.tell_all(dispatch, &ToRunsAgent::Crashes(suspects), now_ms);
             }
@@ -346,7 +352,7 @@
     fn beat(&self, wait_beats: &mut u32) {
         let heard = self.heard.load(Ordering::Acquire);
         let confirmed = self.confirmed.load(Ordering::Acquire);
-        let PoolSeen { agents, largest } = self.service.dispatch.lock().pool_of(self.agent);
+        let PoolView { agents, largest } = self.service.dispatch.lock().pool_view(self.agent);
         self.tell(ToRunsAgent::Heartbeat { heard, confirmed, agents, largest });
         self.tell_evacuations();
         let held = self.service.configuration.borrow().clone();
--- a/crates/entry/src/runs/mod.rs
+++ b/crates/entry/src/runs/mod.rs
@@ -18,8 +18,8 @@
     std::{collections::HashMap, net::SocketAddr, sync::Arc, time::Duration},
     sycamorerail_clock::Clock,
     sycamorerail_decide::dispatch::{
-        AgentKey, Command, Dispatch, DispatchLimits, Forecast, GiveUp, JobAnswer, JobKey,
-        JobRequest, STOP_ANSWER_MS,
+        AgentKey, Command, Dispatch, DispatchLimits, JobAnswer, JobForecast, JobKey, JobRequest,
+        NoResultReason, STOP_ANSWER_MS,
     },
     sycamorerail_telemetry::event,
     sycamorerail_wire::{
@@ -135,19 +135,19 @@
     /// Jobs of a kind that have not begun.
     #[must_use]
     pub fn pending(&self, kind: &str) -> usize {
-        self.dispatch.lock().pending(kind)
+        self.dispatch.lock().unstarted_jobs(kind)
     }
 
     /// Whether a job of this id is not over here.
     fn holds(&self, id: CallerJobId) -> bool {
-        self.dispatch.lock().find(id).is_some()
+        self.dispatch.lock().find_job(id).is_some()
     }
 
     /// Refuses jobs from now on that cannot surely end within so long, and gives up those
     /// that run longer. Every job is answered within [`STOP_ANSWER`] after it.
     pub fn stop_within(&self, left: Duration) {
         let left_ms = u64::try_from(left.as_millis()).unwrap_or(u64::MAX);
-        self.dispatch.lock().stop_by(self.clock.now_ms().saturating_add(left_ms));
+        self.dispatch.lock().plan_stop(self.clock.now_ms().saturating_add(left_ms));
     }
 
     /// Waits until a planned stop has answered all jobs: what is left by then gets no other
@@ -225,7 +225,7 @@
                 let answer = receiver.await;
                 waiting.is_answered = true;
                 // The sender is dropped only with an answer, or with the job.
-                answer.unwrap_or(JobAnswer::Unknown { why: GiveUp::Cancelled })
+                answer.unwrap_or(JobAnswer::Unknown { reason: NoResultReason::Cancelled })
             }
             Err(answer) => answer,
         };
@@ -253,7 +253,7 @@
     /// Cancels a job here, whoever waits for it. Returns whether there is one.
     fn cancel(self: &Arc<Self>, id: CallerJobId) -> bool {
         let mut dispatch = self.dispatch.lock();
-        let Some(key) = dispatch.find(id) else { return false };
+        let Some(key) = dispatch.find_job(id) else { return false };
         dispatch.cancel(key);
         drop(dispatch);
         event!(Info, "job_cancelled", job = id);
@@ -333,7 +333,7 @@
 }
 
 /// Logs a decision on a job with what decided it.
-fn log_admission(accepted: bool, id: CallerJobId, size: JobSize<'_>, forecast: &Forecast) {
+fn log_admission(accepted: bool, id: CallerJobId, size: JobSize<'_>, forecast: &JobForecast) {
     event!(
         Info,
         "job_admission",
@@ -363,8 +363,8 @@
     match answer {
         JobAnswer::Completed => ("completed", ""),
         JobAnswer::Failed => ("failed", ""),
-        JobAnswer::NotRun { why, .. } => ("not_run", why.name()),
-        JobAnswer::Unknown { why } => ("unknown", why.name()),
+        JobAnswer::NotRun { reason, .. } => ("not_run", reason.name()),
+        JobAnswer::Unknown { reason } => ("unknown", reason.name()),
     }
 }
 
--- a/crates/entry/src/upstreams/revoke.rs
+++ b/crates/entry/src/upstreams/revoke.rs
@@ -13,7 +13,7 @@
     },
     std::{collections::HashMap, sync::Arc, time::Duration},
     sycamorerail_decide::{
-        job::{Event, TaskKey},
+        job::{Event, TaskAttempt},
         view::UpstreamKey,
     },
     sycamorerail_wire::{
@@ -35,7 +35,12 @@
 }
 
 /// Revokes tasks of a job at an upstream. Reports come as events.
-pub fn revoke(shared: &Arc<Shared>, cell: &Arc<JobCell>, upstream: UpstreamKey, tasks: &[TaskKey]) {
+pub fn revoke(
+    shared: &Arc<Shared>,
+    cell: &Arc<JobCell>,
+    upstream: UpstreamKey,
+    tasks: &[TaskAttempt],
+) {
     let Some(agent) = shared.upstreams.snapshot().agent(upstream).cloned() else {
         for &task in tasks {
             drive(shared, cell, Event::RevokeFailed { upstream, task });
@@ -105,7 +110,7 @@
     let mut records: HashMap<TaskId, TaskRecord> =
         reports.into_iter().map(|report| (report.task, report.record)).collect();
     for (id, cell) in tasks {
-        let task = TaskKey { index: id.index, attempt: id.attempt };
+        let task = TaskAttempt { index: id.index, attempt: id.attempt };
         let upstream = agent.key;
         let event = match records.remove(&id) {
             Some(record) => {
--- a/crates/entry/src/upstreams/send.rs
+++ b/crates/entry/src/upstreams/send.rs
@@ -109,7 +109,7 @@
     }
 
     fn may_send_again(&self) -> bool {
-        self.cell.state.lock().send_again(self.placement)
+        self.cell.state.lock().resend_placement(self.placement)
     }
 
     /// Waits for a connection other than the broken one; `None` when the time
