--- a/crates/agent/src/leased/lease.rs
+++ b/crates/agent/src/leased/lease.rs
@@ -7,7 +7,7 @@
     },
     futures::{StreamExt, stream::FuturesUnordered},
     std::{sync::Arc, time::Duration},
-    sycamorerail_decide::ledger::{LeaseAnswer, Ledger, LifeEnd},
+    sycamorerail_decide::ledger::{InstanceEnd, LeaseAnswer, Ledger},
     sycamorerail_telemetry::event,
     sycamorerail_wire::runs::InstanceId,
     tokio::time::{Instant, sleep_until},
@@ -32,7 +32,7 @@
 /// Keeps the lease for as long as the agent runs.
 pub(super) async fn keep(leased: Arc<LeasedAgent>) {
     loop {
-        let life = leased.ledger.lock().present().cloned();
+        let life = leased.ledger.lock().current_instance().cloned();
         match life {
             Some(life) => keep_life(&leased, &life).await,
             None => leased.life_changed.notified().await,
@@ -45,7 +45,7 @@
     let mut keeping = Keeping { leased, life, unheard: 0, is_sure: false, is_heard: false };
     let mut under_way = FuturesUnordered::new();
     let mut next_at = Instant::now();
-    while leased.ledger.lock().present() == Some(life) {
+    while leased.ledger.lock().current_instance() == Some(life) {
         let may_send = under_way.len() < MAX_UNDER_WAY;
         tokio::select! {
             Some(renewed) = under_way.next() => match keeping.take(renewed) {
@@ -106,11 +106,12 @@
             Ok(mut answer) => {
                 answer.sent_ms = renewed.sent_ms;
                 answer.fence = renewed.fence;
-                answer.life = answer.life.or_current(Some(self.life));
+                answer.instance = answer.instance.or_current(Some(self.life));
                 self.answered(&answer, renewed.is_fenced)
             }
             Err(CallError::Fenced { clock_ms }) => {
-                self.leased.change(|ledger, _| ledger.fence_refused(renewed.fence, clock_ms));
+                self.leased
+                    .change(|ledger, _| ledger.handle_fence_refusal(renewed.fence, clock_ms));
                 self.log_fence(renewed.fence);
                 Next::After(Duration::ZERO)
             }
@@ -125,13 +126,13 @@
         self.is_heard = true;
         leased.change(|ledger, now_ms| {
             if is_fenced {
-                ledger.renewed(answer, now_ms);
+                ledger.handle_renewal_answer(answer, now_ms);
             } else {
-                ledger.fence_off(answer, now_ms);
+                ledger.handle_fence_answer(answer, now_ms);
             }
         });
-        if answer.life != *life {
-            self.log_other(&answer.life);
+        if answer.instance != *life {
+            self.log_other(&answer.instance);
         }
         self.log_fence(answer.fence);
         let had_ends = is_fenced && !answer.ended.is_empty();
@@ -140,7 +141,7 @@
 
     /// Another life answered: the next one, or an earlier one late.
     fn log_other(&self, answered: &InstanceId) {
-        let is_present = self.leased.ledger.lock().present() == Some(answered);
+        let is_present = self.leased.ledger.lock().current_instance() == Some(answered);
         if is_present {
             metrics::counter!("sycamorerail_upstream_restarts_total").increment(1);
             event!(Warn, "upstream_restarted", life = answered, before = self.life);
@@ -152,7 +153,7 @@
     fn log_fence(&self, before: u64) {
         let ledger = self.leased.ledger.lock();
         if ledger.fence() > before {
-            let life = ledger.present().unwrap_or(self.life);
+            let life = ledger.current_instance().unwrap_or(self.life);
             event!(Info, "fence_taken", life = life, fence = ledger.fence());
         }
     }
@@ -175,13 +176,13 @@
     }
 
     /// How the life has ended, if a failed call shows that it has.
-    fn end_shown_by(&self, error: &CallError) -> Option<LifeEnd> {
+    fn end_shown_by(&self, error: &CallError) -> Option<InstanceEnd> {
         match error {
-            CallError::OtherInstance => Some(LifeEnd::Replaced),
-            CallError::NoListener if self.leased.ledger.lock().is_withdrawn() => {
-                Some(LifeEnd::Left)
+            CallError::OtherInstance => Some(InstanceEnd::Replaced),
+            CallError::NoListener if self.leased.ledger.lock().has_pending_withdrawal() => {
+                Some(InstanceEnd::Left)
             }
-            CallError::NoListener if self.unheard >= GONE_AFTER => Some(LifeEnd::Crashed),
+            CallError::NoListener if self.unheard >= GONE_AFTER => Some(InstanceEnd::Crashed),
             _ => None,
         }
     }
@@ -215,16 +216,16 @@
 fn renewal(ledger: &Ledger, wait_ms: u32, acknowledges: bool, now_ms: u64) -> LeaseRenewal {
     LeaseRenewal {
         lease_until_clock_ms: ledger.lease_until_clock_ms(now_ms),
-        acknowledged_through: if acknowledges { ledger.acknowledged() } else { 0 },
-        wait_ms: if ledger.clock_ms(now_ms).is_some() { wait_ms } else { 0 },
+        acknowledged_through: if acknowledges { ledger.last_acknowledged_end() } else { 0 },
+        wait_ms: if ledger.upstream_clock_ms(now_ms).is_some() { wait_ms } else { 0 },
     }
 }
 
-fn lose(leased: &Arc<LeasedAgent>, life: &InstanceId, error: &CallError, how: LifeEnd) {
+fn lose(leased: &Arc<LeasedAgent>, life: &InstanceId, error: &CallError, how: InstanceEnd) {
     event!(Warn, "upstream_lost", life = life, error = error);
     leased.change(|ledger, _| {
-        if ledger.present() == Some(life) {
-            ledger.lose_upstream(how);
+        if ledger.current_instance() == Some(life) {
+            ledger.end_instance(how);
         }
     });
 }
--- a/crates/agent/src/leased/links/link.rs
+++ b/crates/agent/src/leased/links/link.rs
@@ -12,7 +12,7 @@
         },
         time::Duration,
     },
-    sycamorerail_decide::{echo::Echo, ledger::is_news},
+    sycamorerail_decide::{echo::Echo, ledger::is_significant_change},
     sycamorerail_telemetry::event,
     sycamorerail_wire::{
         frames::{self, FrameError, FrameReader, FrameWriter},
@@ -110,9 +110,9 @@
         };
         let now_ms = leased.clock.now_ms();
         leased.change(|ledger, now_ms| {
-            ledger.owner_heard(entry, now_ms);
+            ledger.note_owner_contact(entry, now_ms);
             if last_entry == Some(entry) {
-                ledger.report_gone(entry, &held);
+                ledger.report_missing_runs(entry, &held);
             }
         });
         event!(Info, "link_opened", peer = peer, entry = entry, again = last_entry == Some(entry));
@@ -152,7 +152,7 @@
     async fn let_go(&self) {
         let mut changes = self.leased.changes.subscribe();
         self.unlinked.notified().await;
-        while !self.leased.ledger.lock().has_nothing_of(self.entry) {
+        while !self.leased.ledger.lock().is_owner_settled(self.entry) {
             if changes.changed().await.is_err() {
                 return;
             }
@@ -165,7 +165,7 @@
         let mut dropped = self.leased.dropped_owners.subscribe();
         loop {
             let confirmed_ms = self.echo.lock().confirmed_ms();
-            let silence_ms = self.leased.settings.limits.owner_silence_ms;
+            let silence_ms = self.leased.settings.limits.owner_timeout_ms;
             let left_ms = (confirmed_ms + silence_ms).saturating_sub(self.leased.clock.now_ms());
             if left_ms == 0 {
                 return;
@@ -206,11 +206,11 @@
             }
             ToRunsAgent::JobMostlyStarted { job, give_up_in_ms } => {
                 leased.change(|ledger, now_ms| {
-                    ledger.finish_job(self.entry, job, give_up_in_ms, now_ms);
+                    ledger.prioritise_job(self.entry, job, give_up_in_ms, now_ms);
                 })
             }
             ToRunsAgent::Withdraw(tasks) => leased.change(|ledger, _| {
-                tasks.into_iter().for_each(|task| ledger.withdraw(self.entry, task));
+                tasks.into_iter().for_each(|task| ledger.withdraw_task(self.entry, task));
             }),
             ToRunsAgent::Unlinked => self.unlinked.notify_one(),
             ToRunsAgent::Heartbeat { heard, confirmed, agents, largest } => {
@@ -220,8 +220,8 @@
                 let heard_ms = echo.confirmed_ms();
                 drop(echo);
                 let mut ledger = leased.ledger.lock();
-                ledger.owner_heard(self.entry, heard_ms);
-                ledger.confirmed(self.entry, confirmed);
+                ledger.note_owner_contact(self.entry, heard_ms);
+                ledger.confirm_reports(self.entry, confirmed);
             }
             ToRunsAgent::Configuration(copy) => {
                 self.entry_revision.fetch_max(copy.revision, Ordering::AcqRel);
@@ -236,7 +236,7 @@
                 leased.hold_evacuations(&told);
             }
             ToRunsAgent::Crashes(told) => leased.change(|ledger, now_ms| {
-                ledger.crashes_told(&told, leased.incarnation, now_ms);
+                ledger.learn_crashes(&told, leased.incarnation, now_ms);
             }),
             ToRunsAgent::RequestConfiguration => self.asked.send_modify(|asked| *asked += 1),
         }
@@ -292,7 +292,7 @@
         let reports: Vec<RunReport> =
             reports.into_iter().filter(|report| report.number > told_up_to).collect();
         let load = ledger.load(leased.clock.now_ms());
-        let life = ledger.proven_life().cloned();
+        let life = ledger.proven_instance().cloned();
         let now_ms = leased.clock.now_ms();
         let (crashes, last_crash) = ledger.crashes_after(told.crash, leased.incarnation, now_ms);
         let cold_until_ms = ledger.cold_until_ms(now_ms);
@@ -327,7 +327,7 @@
             told.cluster_at = now + BEAT;
             self.tell_cluster(told, messages);
         }
-        let is_changed = told.load.is_none_or(|told| is_news(&told, &load));
+        let is_changed = told.load.is_none_or(|told| is_significant_change(&told, &load));
         let load_due = is_changed && now >= told.load_at;
         if reports.is_empty() && !load_due && now < told.beat_at {
             // A changed load is told after its pause.
@@ -425,7 +425,7 @@
         name: leased.settings.name.clone(),
         data_centre: leased.settings.data_centre.clone(),
         last_heard_entry: last_entry,
-        held_runs: last_entry.map(|entry| ledger.held(entry)).unwrap_or_default(),
+        held_runs: last_entry.map(|entry| ledger.held_runs(entry)).unwrap_or_default(),
         unconfirmed_reports: last_entry.map(|entry| ledger.reports(entry)).unwrap_or_default(),
         configuration_revision: leased
             .configuration
--- a/crates/agent/src/leased/mod.rs
+++ b/crates/agent/src/leased/mod.rs
@@ -17,8 +17,8 @@
     sycamorerail_clock::Clock,
     sycamorerail_decide::{
         ledger::{
-            Announced, Decided, Ledger, LedgerLimits, StartAnswer, StartOrder, StartRefusal,
-            Withdrawn,
+            AnnouncementOutcome, Ledger, LedgerLimits, RunDecision, StartAnswer, StartOrder,
+            StartRefusal, WithdrawalOutcome,
         },
         links::LinkLimits,
     },
@@ -147,9 +147,9 @@
     pub fn upstream_announced(self: &Arc<Self>, life: UpstreamInstance) {
         let (id, pool, leaving) = (life.id.clone(), life.pool.clone(), life.leaving);
         let cpu_milli = life.capacity.cpu_milli;
-        match self.change(|ledger, now_ms| ledger.announced(life, now_ms)) {
-            Announced::Known => {}
-            Announced::Believed => {
+        match self.change(|ledger, now_ms| ledger.handle_announcement(life, now_ms)) {
+            AnnouncementOutcome::Unchanged => {}
+            AnnouncementOutcome::Accepted => {
                 event!(
                     Info,
                     "upstream_announced",
@@ -159,18 +159,20 @@
                 );
                 self.life_changed.notify_one();
             }
-            Announced::Doubted => {
+            AnnouncementOutcome::Doubted => {
                 metrics::counter!("sycamorerail_announcements_doubted_total").increment(1);
                 event!(Info, "announcement_doubted", life = id);
                 self.look_now.notify_one();
             }
-            Announced::Ignored => event!(Info, "announcement_ignored", life = id, pool = pool),
+            AnnouncementOutcome::Ignored => {
+                event!(Info, "announcement_ignored", life = id, pool = pool)
+            }
         }
     }
 
     /// A life of the upstream announced that it is slow for so many milliseconds more.
     pub fn upstream_cold(self: &Arc<Self>, life: InstanceId, left_ms: u64) {
-        self.change(|ledger, now_ms| ledger.announced_cold(life, left_ms, now_ms));
+        self.change(|ledger, now_ms| ledger.handle_cold_announcement(life, left_ms, now_ms));
     }
 
     /// Uses the upstream's life as it was known to an earlier run of this agent, until
@@ -179,8 +181,8 @@
     /// Later too: late orders of the earlier run are below the fence from then on.
     pub fn restore_upstream(self: &Arc<Self>, life: UpstreamInstance) {
         let is_unknown = self.change(|ledger, _| {
-            ledger.recall_fence(&life);
-            ledger.life().is_none()
+            ledger.restore_fence(&life);
+            ledger.announced_instance().is_none()
         });
         if is_unknown {
             event!(Info, "upstream_remembered", life = life.id, leaving = life.leaving);
@@ -192,13 +194,13 @@
     ///
     /// As long as it answers that is not believed: an earlier life may have said so.
     pub fn upstream_withdrawn(self: &Arc<Self>, id: &str) {
-        match self.change(|ledger, now_ms| ledger.withdrawn(id, now_ms)) {
-            Withdrawn::Believed => event!(Info, "upstream_withdrawn", life = id),
-            Withdrawn::Doubted => {
+        match self.change(|ledger, now_ms| ledger.handle_withdrawal(id, now_ms)) {
+            WithdrawalOutcome::Accepted => event!(Info, "upstream_withdrawn", life = id),
+            WithdrawalOutcome::Doubted => {
                 event!(Info, "withdrawal_doubted", life = id);
                 self.look_now.notify_one();
             }
-            Withdrawn::Ignored => {}
+            WithdrawalOutcome::Ignored => {}
         }
     }
 
@@ -242,9 +244,9 @@
         let now_ms = self.clock.now_ms();
         let starts: Vec<_> = std::iter::from_fn(|| ledger.next_start(now_ms)).collect();
         let stops = ledger.stops_due(now_ms);
-        let decided = ledger.take_decided();
+        let decided = ledger.take_decisions();
         let target = ledger
-            .present()
+            .current_instance()
             .map(|life| FencedTarget { instance: life.clone(), fence: ledger.fence() });
         self.tell_life(&ledger);
         drop(ledger);
@@ -262,7 +264,7 @@
 
     /// Has what the present life announced recorded.
     fn tell_life(&self, ledger: &Ledger) {
-        let Some(life) = ledger.proven_life() else { return };
+        let Some(life) = ledger.proven_instance() else { return };
         self.lives.send_if_modified(|told| {
             let is_news = told.as_ref() != Some(life);
             if is_news {
@@ -295,20 +297,20 @@
             took_ms = took_ms
         );
     }
-    leased.change(|ledger, now_ms| ledger.start_answered(task, run, answer, now_ms));
+    leased.change(|ledger, now_ms| ledger.handle_start_answer(task, run, answer, now_ms));
 }
 
 async fn stop(leased: Arc<LeasedAgent>, target: FencedTarget, task: TaskKey, run: u32) {
     match leased.upstream_client.stop_run(target, task, run).await {
         Ok(()) => {
-            leased.change(|ledger, now_ms| ledger.stop_confirmed(task, run, now_ms));
+            leased.change(|ledger, now_ms| ledger.handle_stop_confirmation(task, run, now_ms));
             leased.look_now.notify_one();
         }
         Err(error) => event!(Info, "stop_failed", task = task, run = run, error = error),
     }
 }
 
-fn log_decided(decided: &Decided) {
+fn log_decided(decided: &RunDecision) {
     let ran = |run_ms: u32| format!("{run_ms}ms");
     let (name, why, detail) = match decided.event {
         RunEvent::Started => ("started", "", String::new()),
@@ -357,9 +359,9 @@
         }
         let suspended_ms = leased.clock.suspended_ms();
         let silent = leased.change(|ledger, now_ms| {
-            ledger.note_suspended(suspended_ms, now_ms);
-            ledger.check_lapse(now_ms);
-            ledger.expire(now_ms);
+            ledger.note_suspension(suspended_ms, now_ms);
+            ledger.check_lease_lapse(now_ms);
+            ledger.drop_expired(now_ms);
             ledger.drop_silent_owners(now_ms)
         });
         for entry in &silent {
--- a/crates/agent/tests/renewals.rs
+++ b/crates/agent/tests/renewals.rs
@@ -8,7 +8,7 @@
         CallError, FencedTarget, LeaseRenewal, LeasedAgent, LeasedAgentSettings, UpstreamClient,
     },
     sycamorerail_decide::{
-        ledger::{EndKind, Ended, LeaseAnswer, LedgerLimits, StartAnswer, StartOrder},
+        ledger::{EndKind, LeaseAnswer, LedgerLimits, RunEnd, StartAnswer, StartOrder},
         links::LinkLimits,
     },
     sycamorerail_wire::runs::{CallerJobId, InstanceId, Resources, TaskKey, UpstreamInstance},
@@ -53,10 +53,14 @@
             return pending().boxed();
         }
         let task = TaskKey { job: CallerJobId(1), step: 0, index: 0 };
-        let end = Ended { number: END, task, run: 1, kind: EndKind::Done };
+        let end = RunEnd { number: END, task, run: 1, kind: EndKind::Done };
         let ended = if acknowledged.len() == 2 { vec![end] } else { Vec::new() };
-        let answer =
-            LeaseAnswer { life: target.instance, clock_ms: 1_000, ended, ..LeaseAnswer::default() };
+        let answer = LeaseAnswer {
+            instance: target.instance,
+            clock_ms: 1_000,
+            ended,
+            ..LeaseAnswer::default()
+        };
         ready(Ok(answer)).boxed()
     }
 }
--- a/crates/bench/src/policy/agent.rs
+++ b/crates/bench/src/policy/agent.rs
@@ -6,7 +6,9 @@
         clock::{MS, Micros, millis},
         upstream::Upstream,
     },
-    sycamorerail_decide::ledger::{LeaseAnswer, Ledger, LedgerLimits, StartOrder, is_news},
+    sycamorerail_decide::ledger::{
+        LeaseAnswer, Ledger, LedgerLimits, StartOrder, is_significant_change,
+    },
     sycamorerail_wire::{
         ids::Incarnation,
         runs::{
@@ -135,7 +137,7 @@
             self.ledger.drop_owner(before);
         }
         *link = Link { entry: Some(run), heard: 1, beat_at: now, ..Link::default() };
-        self.ledger.owner_heard(run, millis(now));
+        self.ledger.note_owner_contact(run, millis(now));
     }
 
     /// The link to this run of an entry counts a message; false where there is none.
@@ -151,7 +153,7 @@
         let now_ms = millis(now);
         let starts = std::iter::from_fn(|| self.ledger.next_start(now_ms)).collect();
         let stops = self.ledger.stops_due(now_ms);
-        self.ledger.take_decided();
+        self.ledger.take_decisions();
         Wanted { starts, stops }
     }
 
@@ -163,7 +165,7 @@
         let reports = self.ledger.reports(run);
         let reports: Vec<RunReport> =
             reports.into_iter().filter(|report| report.number > link.told_up_to).collect();
-        let is_changed = link.load.is_none_or(|told| is_news(&told, &load));
+        let is_changed = link.load.is_none_or(|told| is_significant_change(&told, &load));
         let load_due = is_changed && now >= link.load_at;
         if reports.is_empty() && !load_due && now < link.beat_at {
             let next = if is_changed { link.load_at.min(link.beat_at) } else { link.beat_at };
@@ -194,7 +196,7 @@
     fn renewal(&mut self, wait: Micros, now: Micros) -> Renewal {
         self.renewals += 1;
         self.under_way += 1;
-        let acknowledged = self.ledger.acknowledged();
+        let acknowledged = self.ledger.last_acknowledged_end();
         Renewal { number: self.renewals, sent: now, acknowledged, wait }
     }
 
@@ -207,9 +209,9 @@
     pub fn renewed(&mut self, life: u64, answer: Option<LeaseAnswer>, now: Micros) {
         self.under_way -= 1;
         let Some(mut answer) = answer.filter(|_| life == self.life) else { return };
-        answer.life = self.ledger.present().cloned().unwrap_or_default();
+        answer.instance = self.ledger.current_instance().cloned().unwrap_or_default();
         let pause = if answer.ended.is_empty() { 0 } else { GATHER };
         self.renew_at = self.renew_at.min(now + pause);
-        self.ledger.renewed(&answer, millis(now));
+        self.ledger.handle_renewal_answer(&answer, millis(now));
     }
 }
--- a/crates/bench/src/policy/upstream.rs
+++ b/crates/bench/src/policy/upstream.rs
@@ -4,7 +4,7 @@
 use {
     super::clock::{Micros, millis},
     std::collections::BTreeMap,
-    sycamorerail_decide::ledger::{EndKind, Ended, LeaseAnswer, StartAnswer, StartRefusal},
+    sycamorerail_decide::ledger::{EndKind, LeaseAnswer, RunEnd, StartAnswer, StartRefusal},
     sycamorerail_wire::runs::{InstanceId, TaskKey},
 };
 
@@ -40,7 +40,7 @@
     running: BTreeMap<TaskKey, Running>,
     /// Highest run of each task that ran or was stopped here.
     highest: BTreeMap<TaskKey, u32>,
-    ended: Vec<Ended>,
+    ended: Vec<RunEnd>,
     ends: u64,
     versions: u64,
 }
@@ -110,7 +110,7 @@
     fn end(&mut self, task: TaskKey, kind: EndKind) {
         let Some(running) = self.running.remove(&task) else { return };
         self.ends += 1;
-        self.ended.push(Ended { number: self.ends, task, run: running.run, kind });
+        self.ended.push(RunEnd { number: self.ends, task, run: running.run, kind });
     }
 
     /// Whether there are ends beyond those acknowledged.
@@ -122,7 +122,7 @@
     pub fn list(&mut self, acknowledged: u64, sent: Micros, now: Micros) -> LeaseAnswer {
         self.ended.retain(|ended| ended.number > acknowledged);
         LeaseAnswer {
-            life: InstanceId::default(),
+            instance: InstanceId::default(),
             fence: 0,
             sent_ms: millis(sent),
             clock_ms: millis(now),
--- a/crates/bench/src/policy/world/agents.rs
+++ b/crates/bench/src/policy/world/agents.rs
@@ -17,8 +17,8 @@
     pub(super) fn tick_agent(&mut self, agent: usize) {
         let now_ms = millis(self.clock.now());
         let ledger = &mut self.agents[agent].ledger;
-        ledger.check_lapse(now_ms);
-        ledger.expire(now_ms);
+        ledger.check_lease_lapse(now_ms);
+        ledger.drop_expired(now_ms);
         ledger.drop_silent_owners(now_ms);
         self.act(agent);
         self.clock.after(AGENT_TICK, Event::AgentTick(agent));
@@ -35,14 +35,14 @@
             ToRunsAgent::Place(placement) => ledger.place(link.run, placement, now_ms),
             ToRunsAgent::Stop(job) => ledger.stop_job(link.run, job),
             ToRunsAgent::Withdraw(tasks) => {
-                tasks.into_iter().for_each(|task| ledger.withdraw(link.run, task));
+                tasks.into_iter().for_each(|task| ledger.withdraw_task(link.run, task));
             }
             ToRunsAgent::JobMostlyStarted { job, give_up_in_ms } => {
-                ledger.finish_job(link.run, job, give_up_in_ms, now_ms);
+                ledger.prioritise_job(link.run, job, give_up_in_ms, now_ms);
             }
             ToRunsAgent::Heartbeat { confirmed, .. } => {
-                ledger.owner_heard(link.run, now_ms);
-                ledger.confirmed(link.run, confirmed);
+                ledger.note_owner_contact(link.run, now_ms);
+                ledger.confirm_reports(link.run, confirmed);
             }
             _ => {}
         }
@@ -120,7 +120,7 @@
             return;
         }
         let now_ms = millis(self.clock.now());
-        self.agents[agent].ledger.start_answered(task, run, answer, now_ms);
+        self.agents[agent].ledger.handle_start_answer(task, run, answer, now_ms);
         self.act(agent);
     }
 
@@ -145,7 +145,7 @@
             return;
         }
         let now = self.clock.now();
-        self.agents[agent].ledger.stop_confirmed(task, run, millis(now));
+        self.agents[agent].ledger.handle_stop_confirmation(task, run, millis(now));
         let look = self.agents[agent].look_now(now);
         self.send_renewal(agent, look);
         self.act(agent);
--- a/crates/decide/src/dispatch/crashes.rs
+++ b/crates/decide/src/dispatch/crashes.rs
@@ -6,7 +6,7 @@
         AgentKey, Dispatch, Job, JobAnswer, JobKey, NoResultReason,
         job::{Ending, SUSPECT_CRASHES},
     },
-    crate::ledger::CRASHES_KEPT_MS,
+    crate::ledger::CRASH_RETENTION_MS,
     std::collections::{HashMap, HashSet},
     sycamorerail_wire::{
         ids::Incarnation,
@@ -70,7 +70,7 @@
     }
 
     fn expire(&mut self, now_ms: u64) {
-        self.0.retain(|_, known| (now_ms as i64) < last_ms(known) + CRASHES_KEPT_MS);
+        self.0.retain(|_, known| (now_ms as i64) < last_ms(known) + CRASH_RETENTION_MS);
     }
 
     fn of(&self, task: TaskKey) -> impl Iterator<Item = &AtAgent> {
--- a/crates/decide/src/fence.rs
+++ b/crates/decide/src/fence.rs
@@ -1,6 +1,6 @@
 //! A lost home: when it is shown lost, whom to ask, and what follows.
 //!
-//! [`lost::HomeWatch`] tells when a home may be fenced. [`collect::Collector`]
+//! [`home_watch::HomeWatch`] tells when a home may be fenced. [`collector::Collector`]
 //! asks the agents of the roster, one message an agent for many jobs, and
 //! keeps what they told. [`conclude`] draws the conclusion for one job.
 //!
@@ -13,8 +13,8 @@
 //! excludes the other two, whoever collects it: see `job`.
 
 mod agents;
-pub mod collect;
-pub mod lost;
+pub mod collector;
+pub mod home_watch;
 
 use {
     std::collections::{BTreeMap, BTreeSet},
@@ -36,7 +36,7 @@
 
 /// What agents told of one job.
 #[derive(Clone, Copy, Debug)]
-pub struct Heard<'a> {
+pub struct AgentAnswers<'a> {
     /// What is held of it, by agent.
     pub held: &'a BTreeMap<Incarnation, FencedJob>,
     /// Agents of the roster that have not answered.
@@ -50,7 +50,7 @@
 
 /// What the one who asks knows of the job.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Known {
+pub struct JobFacts {
     /// Hash of the submission that came, if one came.
     pub content: Option<ContentHash>,
     /// It is surely a job, so that each task had one attempt.
@@ -109,19 +109,19 @@
 
 /// How one task stands over all agents and attempts.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-struct Standing<'a> {
+struct TaskState<'a> {
     finished: Option<&'a Payload>,
     failed: Option<(Reason, &'a str, Incarnation)>,
     running: bool,
     /// Started, with an end that cannot be had.
-    without_end: bool,
+    end_unknown: bool,
 }
 
-impl<'a> Standing<'a> {
-    fn add(&mut self, record: &'a TaskRecord, agent: Incarnation, is_gone: bool) {
+impl<'a> TaskState<'a> {
+    fn add_record(&mut self, record: &'a TaskRecord, agent: Incarnation, is_gone: bool) {
         match record {
             TaskRecord::NeverStarted => {}
-            TaskRecord::Running if is_gone => self.without_end = true,
+            TaskRecord::Running if is_gone => self.end_unknown = true,
             TaskRecord::Running => self.running = true,
             TaskRecord::Ended(TaskEnd::Finished(result)) => {
                 self.finished.get_or_insert(result);
@@ -129,85 +129,85 @@
             TaskRecord::Ended(TaskEnd::Failed { reason, detail }) => {
                 self.failed.get_or_insert((*reason, detail, agent));
             }
-            TaskRecord::EndDropped | TaskRecord::Broken(_) => self.without_end = true,
+            TaskRecord::EndDropped | TaskRecord::Broken(_) => self.end_unknown = true,
         }
     }
 
     fn started(&self) -> bool {
-        self.finished.is_some() || self.failed.is_some() || self.running || self.without_end
+        self.finished.is_some() || self.failed.is_some() || self.running || self.end_unknown
     }
 
     /// The failure, if no attempt can have finished. `only_attempt`: there was
-    /// but this one. `all_told`: all agents answered.
+    /// but this one. `all_answered`: all agents answered.
     fn failure(
         &self,
         only_attempt: bool,
-        all_told: bool,
+        all_answered: bool,
     ) -> Option<(Reason, &'a str, Incarnation)> {
-        let others_failed = all_told && !self.running && !self.without_end;
+        let others_failed = all_answered && !self.running && !self.end_unknown;
         let definite = self.finished.is_none() && (only_attempt || others_failed);
         self.failed.filter(|_| definite)
     }
 }
 
-/// Draws the conclusion for one job. `time_up`: agents that have not answered
+/// Draws the conclusion for one job. `is_time_up`: agents that have not answered
 /// are waited for no longer.
 #[must_use]
-pub fn conclude(heard: Heard<'_>, known: Known, time_up: bool) -> Conclusion {
-    let jobs = || heard.held.iter().map(|(agent, job)| (*agent, job));
-    if jobs().any(|(_, job)| known.content.is_some_and(|content| content != job.content)) {
+pub fn conclude(answers: AgentAnswers<'_>, facts: JobFacts, is_time_up: bool) -> Conclusion {
+    let jobs = || answers.held.iter().map(|(agent, job)| (*agent, job));
+    if jobs().any(|(_, job)| facts.content.is_some_and(|content| content != job.content)) {
         return Conclusion::Conflict;
     }
-    let silent_agents = heard.silent_agents;
-    let all_told = heard.whole && silent_agents == 0;
+    let silent_agents = answers.silent_agents;
+    let all_answered = answers.whole && silent_agents == 0;
     let task_count = jobs().map(|(_, job)| job.task_count).max().unwrap_or(0);
-    let standings = standings(jobs(), heard.gone, task_count);
-    let started = standings.iter().filter(|standing| standing.started()).count();
+    let states = task_states(jobs(), answers.gone, task_count);
+    let started = states.iter().filter(|state| state.started()).count();
     let tasks_started = u16::try_from(started).unwrap_or(u16::MAX);
 
-    let only_attempt = known.single_attempt || task_count > 1;
-    let failure = standings.iter().find_map(|standing| standing.failure(only_attempt, all_told));
+    let only_attempt = facts.single_attempt || task_count > 1;
+    let failure = states.iter().find_map(|state| state.failure(only_attempt, all_answered));
     if let Some((reason, detail, agent)) = failure {
         let detail = detail.to_owned();
         return Conclusion::Failed { reason, detail, agent: Some(agent), tasks_started };
     }
-    if task_count > 0 && standings.iter().all(|standing| standing.finished.is_some()) {
-        return Conclusion::Complete(results(&standings));
+    if task_count > 0 && states.iter().all(|state| state.finished.is_some()) {
+        return Conclusion::Complete(results(&states));
     }
-    if standings.iter().any(|standing| standing.running && standing.finished.is_none()) {
+    if states.iter().any(|state| state.running && state.finished.is_none()) {
         return Conclusion::Running { tasks_started };
     }
-    if !all_told {
-        if silent_agents > 0 && !time_up {
+    if !all_answered {
+        if silent_agents > 0 && !is_time_up {
             return Conclusion::Waiting { tasks_started };
         }
         return Conclusion::Unknown { reason: Reason::HomeLost, tasks_started, silent_agents };
     }
     match started {
         0 => Conclusion::NotRun,
-        started if started < standings.len() => partly_started(tasks_started, task_count),
+        started if started < states.len() => partly_started(tasks_started, task_count),
         _ => Conclusion::Unknown { reason: Reason::ResultDropped, tasks_started, silent_agents },
     }
 }
 
-fn standings<'a>(
+fn task_states<'a>(
     jobs: impl Iterator<Item = (Incarnation, &'a FencedJob)>,
     gone: &BTreeSet<Incarnation>,
     task_count: u16,
-) -> Vec<Standing<'a>> {
-    let mut standings = vec![Standing::default(); task_count.into()];
+) -> Vec<TaskState<'a>> {
+    let mut states = vec![TaskState::default(); task_count.into()];
     for (agent, job) in jobs {
         for report in &job.tasks {
-            if let Some(standing) = standings.get_mut(usize::from(report.task.index)) {
-                standing.add(&report.record, agent, gone.contains(&agent));
+            if let Some(state) = states.get_mut(usize::from(report.task.index)) {
+                state.add_record(&report.record, agent, gone.contains(&agent));
             }
         }
     }
-    standings
+    states
 }
 
-fn results(standings: &[Standing<'_>]) -> Vec<Payload> {
-    standings.iter().filter_map(|standing| standing.finished.cloned()).collect()
+fn results(states: &[TaskState<'_>]) -> Vec<Payload> {
+    states.iter().filter_map(|state| state.finished.cloned()).collect()
 }
 
 fn partly_started(tasks_started: u16, task_count: u16) -> Conclusion {
--- a/crates/decide/src/fence/collect.rs
+++ b/crates/decide/src/fence/collector.rs
@@ -6,7 +6,7 @@
 //! costs a few bits an agent, and what is held of it where it was started.
 
 use {
-    super::{Conclusion, Heard, Known, Roster, agents::AgentSet, conclude},
+    super::{AgentAnswers, Conclusion, JobFacts, Roster, agents::AgentSet, conclude},
     std::collections::{BTreeMap, BTreeSet, HashMap},
     sycamorerail_wire::{
         answer::TaskRecord,
@@ -16,7 +16,7 @@
 };
 
 /// Most jobs in one message.
-pub const MAX_JOBS: usize = 256;
+pub const MAX_JOBS_PER_MESSAGE: usize = 256;
 
 /// Times of a collection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -41,33 +41,33 @@
 }
 
 #[derive(Clone, Debug, Default)]
-struct Asked {
+struct JobQuery {
     held: BTreeMap<Incarnation, FencedJob>,
     answered: AgentSet,
-    under_way: AgentSet,
+    in_flight: AgentSet,
     /// Agents to be asked next; those that had not answered by the end of a
     /// round wait for the next round.
     to_ask: AgentSet,
     /// Agents to be asked about this job alone, as their answer was cut short.
-    alone: BTreeSet<usize>,
+    ask_alone: BTreeSet<usize>,
     /// Agents that answered before and did not since, with the time.
-    unheard: BTreeMap<Incarnation, u64>,
+    unanswered_since_ms: BTreeMap<Incarnation, u64>,
     /// When the present round of asking began.
-    round_ms: u64,
-    not_before_ms: u64,
+    round_began_ms: u64,
+    next_ask_ms: u64,
     /// Somebody waits for it.
-    wanted: bool,
+    is_wanted: bool,
 }
 
 /// The collection for one fenced home.
 #[derive(Clone, Debug)]
 pub struct Collector {
     roster: Roster,
-    places: HashMap<Incarnation, usize>,
+    positions: HashMap<Incarnation, usize>,
     times: FenceTimes,
-    jobs: BTreeMap<JobId, Asked>,
+    jobs: BTreeMap<JobId, JobQuery>,
     /// Most jobs in one message to an agent; halved when its answer was lost.
-    most_jobs: BTreeMap<Incarnation, usize>,
+    batch_limits: BTreeMap<Incarnation, usize>,
     window_ends_ms: Option<u64>,
 }
 
@@ -75,38 +75,39 @@
     /// A collection over the roster read after the fence was recorded.
     #[must_use]
     pub fn new(roster: Roster, times: FenceTimes) -> Self {
-        let places = roster.agents.iter().enumerate().map(|(place, agent)| (*agent, place));
+        let positions =
+            roster.agents.iter().enumerate().map(|(position, agent)| (*agent, position));
         Self {
-            places: places.collect(),
+            positions: positions.collect(),
             roster,
             times,
             jobs: BTreeMap::new(),
-            most_jobs: BTreeMap::new(),
+            batch_limits: BTreeMap::new(),
             window_ends_ms: None,
         }
     }
 
     /// Somebody wants to know of the job.
-    pub fn ask(&mut self, job: JobId, now_ms: u64) {
+    pub fn ask_about(&mut self, job: JobId, now_ms: u64) {
         let times = self.times;
         let all = self.roster.agents.len();
-        let asked = self.jobs.entry(job).or_insert_with(|| Asked {
+        let query = self.jobs.entry(job).or_insert_with(|| JobQuery {
             to_ask: AgentSet::first(all),
-            round_ms: now_ms,
-            ..Asked::default()
+            round_began_ms: now_ms,
+            ..JobQuery::default()
         });
-        if now_ms >= asked.round_ms + times.answer_within_ms + times.unknown_kept_ms {
-            asked.round_ms = now_ms;
-            asked.not_before_ms = 0;
+        if now_ms >= query.round_began_ms + times.answer_within_ms + times.unknown_kept_ms {
+            query.round_began_ms = now_ms;
+            query.next_ask_ms = 0;
         }
-        asked.wanted = true;
+        query.is_wanted = true;
         self.window_ends_ms.get_or_insert(now_ms + times.window_ms);
     }
 
     /// Nobody waits for the job any more.
-    pub fn leave(&mut self, job: JobId) {
-        if let Some(asked) = self.jobs.get_mut(&job) {
-            asked.wanted = false;
+    pub fn stop_asking(&mut self, job: JobId) {
+        if let Some(query) = self.jobs.get_mut(&job) {
+            query.is_wanted = false;
         }
     }
 
@@ -117,81 +118,81 @@
     }
 
     /// The messages to send now.
-    pub fn due(&mut self, now_ms: u64) -> Vec<Request> {
+    pub fn due_requests(&mut self, now_ms: u64) -> Vec<Request> {
         if self.window_ends_ms.is_none_or(|ends_ms| now_ms < ends_ms) {
             return Vec::new();
         }
         let mut together: BTreeMap<usize, Vec<JobId>> = BTreeMap::new();
         let mut requests = Vec::new();
         let mut is_open = false;
-        for (job, asked) in self.jobs.iter_mut().filter(|(_, asked)| asked.wanted) {
-            for place in asked.take_due(self.times, now_ms) {
-                if asked.alone.contains(&place) {
-                    let agent = self.roster.agents[place];
+        for (job, query) in self.jobs.iter_mut().filter(|(_, query)| query.is_wanted) {
+            for position in query.take_due(self.times, now_ms) {
+                if query.ask_alone.contains(&position) {
+                    let agent = self.roster.agents[position];
                     requests.push(Request { agent, jobs: vec![*job] });
                 } else {
-                    together.entry(place).or_default().push(*job);
+                    together.entry(position).or_default().push(*job);
                 }
             }
-            is_open |= asked.is_open(self.times, now_ms);
+            is_open |= query.is_open(self.times, now_ms);
         }
-        for (place, jobs) in together {
-            let agent = self.roster.agents[place];
-            let most = self.most_jobs.get(&agent).copied().unwrap_or(MAX_JOBS);
+        for (position, jobs) in together {
+            let agent = self.roster.agents[position];
+            let limit = self.batch_limits.get(&agent).copied().unwrap_or(MAX_JOBS_PER_MESSAGE);
             let batch = |jobs: &[JobId]| Request { agent, jobs: jobs.to_vec() };
-            requests.extend(jobs.chunks(most).map(batch));
+            requests.extend(jobs.chunks(limit).map(batch));
         }
         self.window_ends_ms = is_open.then_some(now_ms + self.times.ask_again_ms);
         requests
     }
 
     /// An agent has answered a message.
-    pub fn answered(&mut self, request: &Request, held: Vec<FencedJob>) {
-        let Some(&place) = self.places.get(&request.agent) else { return };
+    pub fn handle_answer(&mut self, request: &Request, held: Vec<FencedJob>) {
+        let Some(&position) = self.positions.get(&request.agent) else { return };
         let mut held: BTreeMap<JobId, FencedJob> =
             held.into_iter().map(|job| (job.job, job)).collect();
-        self.most_jobs.remove(&request.agent);
+        self.batch_limits.remove(&request.agent);
         for job in &request.jobs {
-            if let Some(asked) = self.jobs.get_mut(job) {
+            if let Some(query) = self.jobs.get_mut(job) {
                 let is_alone = request.jobs.len() == 1;
-                asked.answer(place, request.agent, held.remove(job), is_alone);
+                query.record_answer(position, request.agent, held.remove(job), is_alone);
             }
         }
     }
 
     /// No answer to a message came: the agent is away, or the answer was too
     /// long.
-    pub fn unanswered(&mut self, request: &Request, now_ms: u64) {
-        let Some(&place) = self.places.get(&request.agent) else { return };
-        self.most_jobs.insert(request.agent, (request.jobs.len() / 2).max(1));
+    pub fn handle_no_answer(&mut self, request: &Request, now_ms: u64) {
+        let Some(&position) = self.positions.get(&request.agent) else { return };
+        self.batch_limits.insert(request.agent, (request.jobs.len() / 2).max(1));
         for job in &request.jobs {
-            if let Some(asked) = self.jobs.get_mut(job) {
-                asked.under_way.remove(place);
-                asked.to_ask.insert(place);
-                asked.unheard.entry(request.agent).or_insert(now_ms);
+            if let Some(query) = self.jobs.get_mut(job) {
+                query.in_flight.remove(position);
+                query.to_ask.insert(position);
+                query.unanswered_since_ms.entry(request.agent).or_insert(now_ms);
             }
         }
     }
 
     /// What follows for a job so far.
     #[must_use]
-    pub fn conclude(&self, job: JobId, known: Known, now_ms: u64) -> Conclusion {
-        let new = Asked::default();
-        let asked = self.jobs.get(&job);
-        let time_up = asked.is_some_and(|asked| asked.is_round_over(self.times, now_ms));
-        let asked = asked.unwrap_or(&new);
-        let heard = Heard {
-            held: &asked.held,
-            silent_agents: self.roster.agents.len() - asked.answered.len(),
-            gone: &asked.gone(self.times, now_ms),
+    pub fn conclude(&self, job: JobId, facts: JobFacts, now_ms: u64) -> Conclusion {
+        let new = JobQuery::default();
+        let query = self.jobs.get(&job);
+        let is_time_up = query.is_some_and(|query| query.is_round_over(self.times, now_ms));
+        let query = query.unwrap_or(&new);
+        let answers = AgentAnswers {
+            held: &query.held,
+            silent_agents: self.roster.agents.len() - query.answered.len(),
+            gone: &query.gone(self.times, now_ms),
             whole: self.roster.whole,
         };
-        conclude(heard, known, time_up)
+        conclude(answers, facts, is_time_up)
     }
 
     /// Hash of the submission whose tasks agents were given, if any tell.
     #[must_use]
-    pub fn content(&self, job: JobId) -> Option<ContentHash> {
+    pub fn content_hash(&self, job: JobId) -> Option<ContentHash> {
         let held = &self.jobs.get(&job)?.held;
         held.values().next().map(|held| held.content)
     }
@@ -214,62 +215,62 @@
     }
 }
 
-impl Asked {
+impl JobQuery {
     fn is_round_over(&self, times: FenceTimes, now_ms: u64) -> bool {
-        now_ms >= self.round_ms + times.answer_within_ms
+        now_ms >= self.round_began_ms + times.answer_within_ms
     }
 
     /// Agents that have not answered any more for long.
     fn gone(&self, times: FenceTimes, now_ms: u64) -> BTreeSet<Incarnation> {
         let is_gone = |since_ms: u64| now_ms >= since_ms + times.answer_within_ms;
-        let gone = self.unheard.iter().filter(|(_, since_ms)| is_gone(**since_ms));
+        let gone = self.unanswered_since_ms.iter().filter(|(_, since_ms)| is_gone(**since_ms));
         gone.map(|(agent, _)| *agent).collect()
     }
 
     /// Takes out the agents to be asked now.
     fn take_due(&mut self, times: FenceTimes, now_ms: u64) -> Vec<usize> {
-        if now_ms < self.not_before_ms {
+        if now_ms < self.next_ask_ms {
             return Vec::new();
         }
         let is_over = self.is_round_over(times, now_ms);
         // One that answered is asked again while a task runs there, however
         // long that takes.
-        let is_due = |place: &usize| self.answered.contains(*place) || !is_over;
+        let is_due = |position: &usize| self.answered.contains(*position) || !is_over;
         let due: Vec<_> = self.to_ask.iter().filter(is_due).collect();
-        for &place in &due {
-            self.to_ask.remove(place);
-            self.under_way.insert(place);
+        for &position in &due {
+            self.to_ask.remove(position);
+            self.in_flight.insert(position);
         }
-        self.not_before_ms = now_ms + times.ask_again_ms;
+        self.next_ask_ms = now_ms + times.ask_again_ms;
         due
     }
 
     /// Whether asking may still decide it.
     fn is_open(&self, times: FenceTimes, now_ms: u64) -> bool {
-        !self.under_way.is_empty()
+        !self.in_flight.is_empty()
             || self.held.values().any(is_running)
             || !(self.to_ask.is_empty() || self.is_round_over(times, now_ms))
     }
 
-    fn answer(
+    fn record_answer(
         &mut self,
-        place: usize,
+        position: usize,
         agent: Incarnation,
         held: Option<FencedJob>,
         is_alone: bool,
     ) {
-        self.under_way.remove(place);
-        self.unheard.remove(&agent);
-        if !is_alone && held.as_ref().is_some_and(was_cut) {
-            self.alone.insert(place);
-            self.to_ask.insert(place);
+        self.in_flight.remove(position);
+        self.unanswered_since_ms.remove(&agent);
+        if !is_alone && held.as_ref().is_some_and(is_truncated) {
+            self.ask_alone.insert(position);
+            self.to_ask.insert(position);
             return;
         }
-        self.answered.insert(place);
+        self.answered.insert(position);
         self.held.remove(&agent);
         if let Some(held) = held {
             if is_running(&held) {
-                self.to_ask.insert(place);
+                self.to_ask.insert(position);
             }
             self.held.insert(agent, held);
         }
@@ -280,6 +281,6 @@
     job.tasks.iter().any(|report| report.record == TaskRecord::Running)
 }
 
-fn was_cut(job: &FencedJob) -> bool {
+fn is_truncated(job: &FencedJob) -> bool {
     job.tasks.iter().any(|report| report.record == TaskRecord::EndDropped)
 }
--- a/crates/decide/src/fence/lost.rs
+++ b/crates/decide/src/fence/home_watch.rs
@@ -5,7 +5,7 @@
 
 /// What came of an attempt to reach the home.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sighting {
+pub enum ReachResult {
     /// It answered.
     Answered,
     /// Another incarnation answered at its address.
@@ -18,7 +18,7 @@
 
 /// Where a home stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum HomeState {
     /// It was reached last time.
     Reachable,
     /// It cannot be reached, and is not shown lost yet.
@@ -32,7 +32,7 @@
 
 /// A gap between attempts longer than this many times the time after which a
 /// home is lost begins a new silence.
-const GAP: u64 = 2;
+const MAX_GAP_FACTOR: u64 = 2;
 
 /// A time without an answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -74,42 +74,42 @@
     }
 
     /// Takes this entry's own attempt.
-    pub fn sighted(&mut self, sighting: Sighting, now_ms: u64) {
-        match sighting {
-            Sighting::Answered => {
+    pub fn note_own_attempt(&mut self, result: ReachResult, now_ms: u64) {
+        match result {
+            ReachResult::Answered => {
                 self.own = Silence::default();
                 self.witness = Silence::default();
             }
-            Sighting::OtherIncarnation | Sighting::Refused => self.lost = true,
-            Sighting::Unreachable => self.own.note(GAP * self.lost_after_ms, now_ms),
+            ReachResult::OtherIncarnation | ReachResult::Refused => self.lost = true,
+            ReachResult::Unreachable => self.own.note(MAX_GAP_FACTOR * self.lost_after_ms, now_ms),
         }
     }
 
     /// Takes a witness's attempt. Where there is no witness to ask, the own
     /// attempts count for it.
-    pub fn witnessed(&mut self, sighting: Sighting, now_ms: u64) {
-        match sighting {
-            Sighting::Answered => self.witness = Silence::default(),
-            Sighting::OtherIncarnation => self.lost = true,
-            Sighting::Refused | Sighting::Unreachable => {
-                self.witness.note(GAP * self.lost_after_ms, now_ms);
+    pub fn note_witness_attempt(&mut self, result: ReachResult, now_ms: u64) {
+        match result {
+            ReachResult::Answered => self.witness = Silence::default(),
+            ReachResult::OtherIncarnation => self.lost = true,
+            ReachResult::Refused | ReachResult::Unreachable => {
+                self.witness.note(MAX_GAP_FACTOR * self.lost_after_ms, now_ms);
             }
         }
     }
 
     /// Where the home stands. Once lost it stays so.
     #[must_use]
-    pub fn standing(&self) -> Standing {
+    pub fn state(&self) -> HomeState {
         if self.lost {
-            return Standing::Lost;
+            return HomeState::Lost;
         }
         if self.own.since_ms.is_none() {
-            return Standing::Reachable;
+            return HomeState::Reachable;
         }
         let lasted_ms = self.own.lasted_ms().min(self.witness.lasted_ms());
         match self.lost_after_ms.checked_sub(lasted_ms) {
-            None | Some(0) => Standing::Lost,
-            Some(retry_after_ms) => Standing::InDoubt { retry_after_ms },
+            None | Some(0) => HomeState::Lost,
+            Some(retry_after_ms) => HomeState::InDoubt { retry_after_ms },
         }
     }
 }
--- a/crates/decide/src/ledger/cold.rs
+++ b/crates/decide/src/ledger/cold.rs
@@ -6,28 +6,30 @@
 /// so again, and none must keep an upstream from work for good.
 const MAX_COLD_MS: u64 = 5_000;
 
-/// A life that is slow.
+/// A instance that is slow.
 #[derive(Debug)]
-pub(super) struct Cold {
-    life: InstanceId,
+pub(super) struct ColdInstance {
+    instance: InstanceId,
     until_ms: u64,
 }
 
 impl Ledger {
-    /// A life announced that it is slow for so much longer; 0 where it is not.
-    pub fn announced_cold(&mut self, life: InstanceId, left_ms: u64, now_ms: u64) {
-        let life = life.or_current(self.present());
+    /// A instance announced that it is slow for so much longer; 0 where it is not.
+    pub fn handle_cold_announcement(&mut self, instance: InstanceId, left_ms: u64, now_ms: u64) {
+        let instance = instance.or_current(self.current_instance());
         if left_ms > 0 {
-            self.cold = Some(Cold { life, until_ms: now_ms + left_ms.min(MAX_COLD_MS) });
+            self.cold =
+                Some(ColdInstance { instance, until_ms: now_ms + left_ms.min(MAX_COLD_MS) });
         } else {
-            self.cold.take_if(|cold| cold.life == life);
+            self.cold.take_if(|cold| cold.instance == instance);
         }
     }
 
-    /// Until when the present life is slow, if it is.
+    /// Until when the present instance is slow, if it is.
     #[must_use]
     pub fn cold_until_ms(&self, now_ms: u64) -> Option<u64> {
-        let cold = self.cold.as_ref().filter(|cold| Some(&cold.life) == self.present())?;
+        let cold =
+            self.cold.as_ref().filter(|cold| Some(&cold.instance) == self.current_instance())?;
         Some(cold.until_ms).filter(|until_ms| now_ms < *until_ms)
     }
 }
--- a/crates/decide/src/ledger/load.rs
+++ b/crates/decide/src/ledger/load.rs
@@ -2,17 +2,17 @@
 //! the upstream.
 
 use {
-    super::{Ledger, Phase, SOUND_PERCENT},
+    super::{Ledger, NORMAL_SLOWNESS_PERCENT, Phase},
     sycamorerail_wire::runs::{PRIORITY_CLASSES, Resources, UpstreamLoad},
 };
 
 /// Weight of the newest sample in moving averages, as one part of this many:
 /// some ten runs decide, which an upstream ends in a quarter of a second.
-const AVERAGE_PARTS: u32 = 8;
+const AVERAGE_DIVISOR: u32 = 8;
 /// What is held against an upstream is halved after each such time without news,
 /// so that one that is avoided is tried again: without it an upstream that was
 /// slow for 7 s stayed unused for up to 8 s more.
-const BLAME_HALF_LIFE_MS: u64 = 1_000;
+const PENALTY_HALF_LIFE_MS: u64 = 1_000;
 /// An upstream whose runs took longer than this, in percent of their estimates, is
 /// on trial until they don't: it offers a small part of its room.
 const TRIAL_PERCENT: u32 = 250;
@@ -23,46 +23,48 @@
 const OVERDUE_PERCENT: u64 = 250;
 
 /// Change of what is held against an upstream that is told at once, in percent.
-const BLAME_NEWS_PERCENT: u32 = 20;
+const PENALTY_CHANGE_PERCENT: u32 = 20;
 
 /// Whether a load differs from what was told so that entries may choose otherwise. What is
 /// left of runs is less with each millisecond: told for itself, it is a third of all
 /// messages and worth nothing (model, 55 entries, 240 upstreams: 80.7 to 55.4 messages a
 /// job, 99.0 and 98.9 % in time).
 #[must_use]
-pub fn is_news(told: &UpstreamLoad, now: &UpstreamLoad) -> bool {
-    let is_blamed_anew = told.slowness_percent.abs_diff(now.slowness_percent) >= BLAME_NEWS_PERCENT
-        || told.failing_percent.abs_diff(now.failing_percent) >= BLAME_NEWS_PERCENT;
+pub fn is_significant_change(told: &UpstreamLoad, now: &UpstreamLoad) -> bool {
+    let has_penalty_changed = told.slowness_percent.abs_diff(now.slowness_percent)
+        >= PENALTY_CHANGE_PERCENT
+        || told.failing_percent.abs_diff(now.failing_percent) >= PENALTY_CHANGE_PERCENT;
     let rest = |load: &UpstreamLoad| UpstreamLoad {
         running_milli_ms: 0,
         slowness_percent: 0,
         failing_percent: 0,
         ..*load
     };
-    is_blamed_anew || rest(told) != rest(now)
+    has_penalty_changed || rest(told) != rest(now)
 }
 
 impl Ledger {
     pub(super) fn note_run_time(&mut self, run_ms: u32, estimate_ms: u32, now_ms: u64) {
         let percent = (u64::from(run_ms) * 100 / u64::from(estimate_ms.max(1))).min(1_000) as u32;
-        self.slowness_percent = average(self.slowness_faded(now_ms), percent);
+        self.slowness_percent = moving_average(self.decayed_slowness(now_ms), percent);
         self.slowness_at_ms = now_ms;
     }
 
-    fn slowness_faded(&self, now_ms: u64) -> u32 {
-        let halvings = now_ms.saturating_sub(self.slowness_at_ms) / BLAME_HALF_LIFE_MS;
-        let excess = self.slowness_percent.saturating_sub(SOUND_PERCENT) >> halvings.min(31);
-        self.slowness_percent.min(SOUND_PERCENT) + excess
+    fn decayed_slowness(&self, now_ms: u64) -> u32 {
+        let halvings = now_ms.saturating_sub(self.slowness_at_ms) / PENALTY_HALF_LIFE_MS;
+        let excess =
+            self.slowness_percent.saturating_sub(NORMAL_SLOWNESS_PERCENT) >> halvings.min(31);
+        self.slowness_percent.min(NORMAL_SLOWNESS_PERCENT) + excess
     }
 
     pub(super) fn note_failure(&mut self, failed: bool, now_ms: u64) {
-        let past = self.failing_now(now_ms);
-        self.failing_percent = average(past, if failed { 100 } else { 0 });
+        let past = self.current_failing(now_ms);
+        self.failing_percent = moving_average(past, if failed { 100 } else { 0 });
         self.failing_at_ms = now_ms;
     }
 
-    pub(super) fn failing_now(&self, now_ms: u64) -> u32 {
-        let halvings = now_ms.saturating_sub(self.failing_at_ms) / BLAME_HALF_LIFE_MS;
+    pub(super) fn current_failing(&self, now_ms: u64) -> u32 {
+        let halvings = now_ms.saturating_sub(self.failing_at_ms) / PENALTY_HALF_LIFE_MS;
         self.failing_percent >> halvings.min(31)
     }
 
@@ -77,20 +79,21 @@
             waiting_milli_ms[class] += u64::from(run.need.cpu_milli) * u64::from(run.run_ms);
         }
         UpstreamLoad {
-            usable: self.takes_runs(now_ms),
-            capacity: self.offered(),
+            usable: self.accepts_runs(now_ms),
+            capacity: self.offered_capacity(),
             taken: self.taken,
             waiting_milli_ms,
             running_milli_ms: self.running_milli_ms(now_ms),
             waiting: u32::try_from(self.waiting.len()).unwrap_or(u32::MAX),
-            slowness_percent: self.slowness_now(now_ms),
-            failing_percent: self.failing_now(now_ms),
+            slowness_percent: self.current_slowness(now_ms),
+            failing_percent: self.current_failing(now_ms),
         }
     }
 
     /// The room that entries may count on.
-    fn offered(&self) -> Resources {
-        let capacity = self.life.as_ref().map(|life| life.capacity).unwrap_or_default();
+    fn offered_capacity(&self) -> Resources {
+        let capacity =
+            self.announced_instance.as_ref().map(|instance| instance.capacity).unwrap_or_default();
         if self.slowness_percent <= TRIAL_PERCENT {
             return capacity;
         }
@@ -115,7 +118,7 @@
     }
 
     /// Run times against estimates, counting runs that are overdue by far.
-    fn slowness_now(&self, now_ms: u64) -> u32 {
+    fn current_slowness(&self, now_ms: u64) -> u32 {
         let overdue = self.runs.values().filter_map(|run| match run.phase {
             Phase::Running { since_ms } => {
                 let elapsed_ms = now_ms.saturating_sub(since_ms);
@@ -124,7 +127,7 @@
             _ => None,
         });
         let worst: Vec<_> = overdue.filter(|percent| *percent > OVERDUE_PERCENT).collect();
-        let faded = self.slowness_faded(now_ms);
+        let faded = self.decayed_slowness(now_ms);
         if worst.len() * 2 <= self.active_count() || worst.is_empty() {
             return faded;
         }
@@ -138,8 +141,8 @@
     u64::from(run_ms) * 100 > u64::from(estimate_ms) * OVERDUE_PERCENT
 }
 
-fn average(past: u32, sample: u32) -> u32 {
+fn moving_average(past: u32, sample: u32) -> u32 {
     // Rounded towards the sample, so that it is reached.
-    let sum = past * (AVERAGE_PARTS - 1) + sample;
-    if sample > past { sum.div_ceil(AVERAGE_PARTS) } else { sum / AVERAGE_PARTS }
+    let sum = past * (AVERAGE_DIVISOR - 1) + sample;
+    if sample > past { sum.div_ceil(AVERAGE_DIVISOR) } else { sum / AVERAGE_DIVISOR }
 }
--- a/crates/decide/src/ledger/mod.rs
+++ b/crates/decide/src/ledger/mod.rs
@@ -12,7 +12,7 @@
 
 mod cold;
 mod crash_log;
-mod lives;
+mod instances;
 mod load;
 mod order_fence;
 mod owners;
@@ -20,17 +20,17 @@
 mod types;
 
 pub use {
-    load::is_news,
+    load::is_significant_change,
     types::{
-        Announced, Decided, EndKind, Ended, LeaseAnswer, LedgerLimits, LifeEnd, StartAnswer,
-        StartOrder, StartRefusal, Withdrawn,
+        AnnouncementOutcome, EndKind, InstanceEnd, LeaseAnswer, LedgerLimits, RunDecision, RunEnd,
+        StartAnswer, StartOrder, StartRefusal, WithdrawalOutcome,
     },
 };
 
-pub(crate) use crash_log::CRASHES_KEPT_MS;
+pub(crate) use crash_log::CRASH_RETENTION_MS;
 
 use {
-    cold::Cold,
+    cold::ColdInstance,
     crash_log::CrashLog,
     order_fence::OrderFence,
     owners::Owners,
@@ -51,17 +51,17 @@
 /// Part of the lease, in percent, after which an upstream that answered no
 /// renewal gets no new runs and no new lease: three calls whose answers are lost fit
 /// into it, each with its time-out.
-const TRUSTED_PERCENT: u64 = 80;
+const TRUSTED_LEASE_PERCENT: u64 = 80;
 /// The upstream's clock may be this much slower than ours, in percent.
 const CLOCK_DRIFT_PERCENT: u64 = 2;
 /// An order that the upstream does not list as running this long after it was sent
 /// is doubted: as a rule it is carried out and answered within 2 ms.
-const DOUBT_MS: u64 = 25;
+const START_CONFIRM_WITHIN_MS: u64 = 25;
 /// Run times as the estimates say, in percent.
-const SOUND_PERCENT: u32 = 100;
+const NORMAL_SLOWNESS_PERCENT: u32 = 100;
 /// Waiting tasks looked at for one that fits, so that a wide task at the head
 /// does not leave room unused for long.
-const LOOK_AHEAD: usize = 16;
+const MAX_TASKS_EXAMINED: usize = 16;
 
 new_key_type! {
     /// A run in the ledger.
@@ -75,7 +75,7 @@
     Waiting,
     /// Ordered; the answer is awaited, or did not come.
     Ordered { since_ms: u64, late_after_clock_ms: u64, unanswered: bool },
-    /// Ordered of a life that ended since: the next one may have carried it out, or will.
+    /// Ordered of a instance that ended since: the next one may have carried it out, or will.
     Orphaned { has_crashed: bool },
     /// The upstream has confirmed it.
     Running { since_ms: u64 },
@@ -100,7 +100,7 @@
 struct Rank {
     is_late: bool,
     priority: u8,
-    is_beginning: bool,
+    is_job_mostly_waiting: bool,
     start_by_ms: u64,
     arrival: u64,
 }
@@ -117,7 +117,7 @@
     rank: Rank,
     phase: Phase,
     stop: Option<Stop>,
-    told_started: bool,
+    start_reported: bool,
     /// Upstreams crashed while it ran there: it runs apart from others like it.
     suspect: bool,
 }
@@ -136,24 +136,24 @@
 #[derive(Debug)]
 pub struct Ledger {
     limits: LedgerLimits,
-    /// The life that calls are meant for.
-    present: Option<InstanceId>,
-    /// Answers to calls sent until then may be older than the present life.
-    present_since_ms: u64,
-    /// What the present life announced.
-    life: Option<UpstreamInstance>,
-    /// Another life that was announced while the present one answered, and when.
-    doubted: Option<(UpstreamInstance, /* since_ms */ u64)>,
-    /// When the present life's id was withdrawn, until an answer shows that it is there.
+    /// The instance that calls are meant for.
+    current_instance: Option<InstanceId>,
+    /// Answers to calls sent until then may be older than the present instance.
+    current_since_ms: u64,
+    /// What the present instance announced.
+    announced_instance: Option<UpstreamInstance>,
+    /// Another instance that was announced while the present one answered, and when.
+    doubted_announcement: Option<(UpstreamInstance, /* since_ms */ u64)>,
+    /// When the present instance's id was withdrawn, until an answer shows that it is there.
     withdrawn_ms: Option<u64>,
     order_fence: OrderFence,
     draining: bool,
     /// The upstream's data centre is evacuated: nothing is started there.
     is_evacuated: bool,
     /// Nothing of an earlier run of the agent is left on the upstream.
-    clean: bool,
+    has_no_leftovers: bool,
     /// The upstream's clock, and when it was told.
-    clock: Option<(/* clock_ms */ u64, /* at_ms */ u64)>,
+    upstream_clock: Option<(/* clock_ms */ u64, /* at_ms */ u64)>,
     /// When the last answered renewal was sent.
     renewed_ms: Option<u64>,
     /// When the lease has surely lapsed, counting by that renewal.
@@ -164,8 +164,8 @@
     by_task: HashMap<TaskKey, RunKey>,
     waiting: BTreeSet<(Rank, RunKey)>,
     taken: Resources,
-    ordered: usize,
-    arrivals: u64,
+    pending_starts: usize,
+    next_arrival: u64,
     owners: Owners,
     leftovers: BTreeMap<(TaskKey, u32), Stop>,
     slowness_percent: u32,
@@ -173,8 +173,8 @@
     failing_percent: u32,
     failing_at_ms: u64,
     crash_log: CrashLog,
-    cold: Option<Cold>,
-    decided: Vec<Decided>,
+    cold: Option<ColdInstance>,
+    decided: Vec<RunDecision>,
 }
 
 impl Ledger {
@@ -183,16 +183,16 @@
     pub fn new(limits: LedgerLimits) -> Self {
         Self {
             limits,
-            present: None,
-            present_since_ms: 0,
-            life: None,
-            doubted: None,
+            current_instance: None,
+            current_since_ms: 0,
+            announced_instance: None,
+            doubted_announcement: None,
             withdrawn_ms: None,
             order_fence: OrderFence::default(),
             draining: false,
             is_evacuated: false,
-            clean: false,
-            clock: None,
+            has_no_leftovers: false,
+            upstream_clock: None,
             renewed_ms: None,
             lapsed_ms: 0,
             suspension: Suspension::default(),
@@ -201,11 +201,11 @@
             by_task: HashMap::new(),
             waiting: BTreeSet::new(),
             taken: Resources::default(),
-            ordered: 0,
-            arrivals: 0,
+            pending_starts: 0,
+            next_arrival: 0,
             owners: Owners::default(),
             leftovers: BTreeMap::new(),
-            slowness_percent: SOUND_PERCENT,
+            slowness_percent: NORMAL_SLOWNESS_PERCENT,
             slowness_at_ms: 0,
             failing_percent: 0,
             failing_at_ms: 0,
@@ -219,7 +219,10 @@
     /// and grow as it runs: it would wait in vain, and keep others from being looked at.
     /// What runs goes on; room comes back as it ends.
     fn drop_too_large(&mut self) {
-        let Some(capacity) = self.life.as_ref().map(|life| life.capacity) else { return };
+        let Some(capacity) = self.announced_instance.as_ref().map(|instance| instance.capacity)
+        else {
+            return;
+        };
         let is_too_large = |key: &RunKey| !capacity.covers(&self.runs[*key].need);
         let keys: Vec<_> = self.waiting.iter().map(|&(_, key)| key).filter(is_too_large).collect();
         for key in keys {
@@ -227,13 +230,13 @@
         }
     }
 
-    fn lose_active(&mut self, event: RunEvent) {
-        for key in self.active() {
+    fn settle_active(&mut self, event: RunEvent) {
+        for key in self.active_runs() {
             self.settle(key, event);
         }
     }
 
-    fn active(&self) -> Vec<RunKey> {
+    fn active_runs(&self) -> Vec<RunKey> {
         let active = self.runs.iter().filter(|(_, run)| run.phase != Phase::Waiting);
         active.map(|(key, _)| key).collect()
     }
@@ -275,13 +278,13 @@
     }
 
     /// An entry was heard of.
-    pub fn owner_heard(&mut self, owner: Incarnation, now_ms: u64) {
-        self.owners.heard(owner, now_ms);
+    pub fn note_owner_contact(&mut self, owner: Incarnation, now_ms: u64) {
+        self.owners.note_contact(owner, now_ms);
     }
 
     /// Ends what entries that were not heard for long have here; returns them.
     pub fn drop_silent_owners(&mut self, now_ms: u64) -> Vec<Incarnation> {
-        let silent = self.owners.silent(now_ms, self.limits.owner_silence_ms);
+        let silent = self.owners.silent_owners(now_ms, self.limits.owner_timeout_ms);
         for &owner in &silent {
             self.drop_owner(owner);
         }
@@ -300,16 +303,16 @@
 
     /// Runs that an entry has here, for the reconciliation of a new connection.
     #[must_use]
-    pub fn held(&self, owner: Incarnation) -> Vec<(TaskKey, u32)> {
+    pub fn held_runs(&self, owner: Incarnation) -> Vec<(TaskKey, u32)> {
         let mine = self.runs.values().filter(|run| run.owner == owner);
         mine.map(|run| (run.task, run.number)).collect()
     }
 
     /// Reports runs that are over although an entry was told that they are held: they ended
     /// after that, while the entry counted as silent and nothing was kept for it.
-    pub fn report_gone(&mut self, owner: Incarnation, held: &[(TaskKey, u32)]) {
+    pub fn report_missing_runs(&mut self, owner: Incarnation, held: &[(TaskKey, u32)]) {
         for &(task, run) in held {
-            if self.find(task, run).is_none() && !self.owners.has_report(owner, task, run) {
+            if self.find_run(task, run).is_none() && !self.owners.has_report(owner, task, run) {
                 self.push_report(owner, task, run, RunEvent::Lost);
             }
         }
@@ -317,7 +320,7 @@
 
     /// Whether an entry has no run here, and no report that it has not confirmed.
     #[must_use]
-    pub fn has_nothing_of(&self, owner: Incarnation) -> bool {
+    pub fn is_owner_settled(&self, owner: Incarnation) -> bool {
         let has_run = self.runs.values().any(|run| run.owner == owner);
         !has_run && self.owners.is_confirmed(owner)
     }
@@ -329,7 +332,7 @@
     pub fn place(&mut self, owner: Incarnation, placement: StepPlacement, now_ms: u64) {
         let spec: Arc<str> = placement.spec.into();
         let objective_ms = now_ms + u64::from(placement.objective_in_ms);
-        let is_fresh = self.owners.is_fresh(owner, now_ms, self.limits.owner_silence_ms);
+        let is_fresh = self.owners.is_fresh(owner, now_ms, self.limits.owner_timeout_ms);
         for start in placement.tasks {
             let task = TaskKey { job: placement.job, step: placement.step, index: start.index };
             let run = Run {
@@ -342,22 +345,22 @@
                 give_up_ms: now_ms + u64::from(placement.give_up_in_ms),
                 rank: Rank {
                     is_late: false,
-                    is_beginning: !placement.job_mostly_started,
+                    is_job_mostly_waiting: !placement.job_mostly_started,
                     start_by_ms: objective_ms.saturating_sub(placement.run_ms.into()),
                     priority: placement.priority,
-                    arrival: self.arrivals,
+                    arrival: self.next_arrival,
                 },
                 phase: Phase::Waiting,
                 stop: None,
-                told_started: false,
+                start_reported: false,
                 suspect: placement.suspect,
             };
-            self.arrivals += 1;
-            self.take(run, is_fresh);
+            self.next_arrival += 1;
+            self.accept_task(run, is_fresh);
         }
     }
 
-    fn take(&mut self, run: Run, is_fresh: bool) {
+    fn accept_task(&mut self, run: Run, is_fresh: bool) {
         if let Some(&key) = self.by_task.get(&run.task) {
             let known = &self.runs[key];
             if known.owner != run.owner || known.number != run.number {
@@ -365,12 +368,12 @@
             }
             return;
         }
-        let refusal = match &self.life {
+        let refusal = match &self.announced_instance {
             None => Some(NotStarted::NoUpstream),
             Some(_) if !is_fresh => Some(NotStarted::Stale),
             Some(_) if self.is_leaving() || self.draining => Some(NotStarted::Leaving),
             Some(_) if self.is_evacuated => Some(NotStarted::Evacuated),
-            Some(life) if !life.capacity.covers(&run.need) => Some(NotStarted::NoRoom),
+            Some(instance) if !instance.capacity.covers(&run.need) => Some(NotStarted::NoRoom),
             Some(_) => None,
         };
         if let Some(why) = refusal {
@@ -394,7 +397,7 @@
 
     /// Has what waits of an entry's job go before others of its priority, as most of
     /// the job has begun.
-    pub fn finish_job(
+    pub fn prioritise_job(
         &mut self,
         owner: Incarnation,
         job: CallerJobId,
@@ -411,13 +414,13 @@
             self.waiting.remove(&(rank, key));
             let run = &mut self.runs[key];
             run.give_up_ms = now_ms + u64::from(give_up_in_ms);
-            run.rank = Rank { is_late: false, is_beginning: false, ..rank };
+            run.rank = Rank { is_late: false, is_job_mostly_waiting: false, ..rank };
             self.waiting.insert((run.rank, key));
         }
     }
 
     /// Hands a task back that waits still.
-    pub fn withdraw(&mut self, owner: Incarnation, task: TaskKey) {
+    pub fn withdraw_task(&mut self, owner: Incarnation, task: TaskKey) {
         let Some(&key) = self.by_task.get(&task) else { return };
         let run = &self.runs[key];
         if run.owner == owner && run.phase == Phase::Waiting {
@@ -439,22 +442,22 @@
         if !self.may_start(now_ms) {
             return None;
         }
-        self.sort_out(now_ms);
-        let life = self.life.as_ref()?;
-        let free = life.capacity.minus(&self.taken);
+        self.reorder_waiting(now_ms);
+        let instance = self.announced_instance.as_ref()?;
+        let free = instance.capacity.minus(&self.taken);
         let ready = |run: &Run| {
             free.covers(&run.need)
                 && !(run.suspect && self.has_active_suspect())
-                && self.owners.is_fresh(run.owner, now_ms, self.limits.owner_silence_ms)
+                && self.owners.is_fresh(run.owner, now_ms, self.limits.owner_timeout_ms)
         };
-        let mut ahead = self.waiting.iter().take(LOOK_AHEAD);
+        let mut ahead = self.waiting.iter().take(MAX_TASKS_EXAMINED);
         let &(rank, key) = ahead.find(|(_, key)| ready(&self.runs[*key]))?;
-        let late_after_clock_ms = self.clock_ms(now_ms)? + self.limits.start_within_ms;
+        let late_after_clock_ms = self.upstream_clock_ms(now_ms)? + self.limits.start_within_ms;
         self.waiting.remove(&(rank, key));
         let run = &mut self.runs[key];
         run.phase = Phase::Ordered { since_ms: now_ms, late_after_clock_ms, unanswered: false };
         self.taken = self.taken.plus(&run.need);
-        self.ordered += 1;
+        self.pending_starts += 1;
         let (task, number, spec) = (run.task, run.number, Arc::clone(&run.spec));
         Some(StartOrder { task, run: number, spec, late_after_clock_ms })
     }
@@ -466,18 +469,18 @@
     /// Nothing is believed of the upstream unless it answered a renewal lately:
     /// after a pause of this process its runs may have lapsed.
     fn may_start(&self, now_ms: u64) -> bool {
-        self.takes_runs(now_ms) && self.ordered < self.limits.max_ordered
+        self.accepts_runs(now_ms) && self.pending_starts < self.limits.max_pending_starts
     }
 
     /// Whether runs may be started on the upstream, as soon as there is room.
-    fn takes_runs(&self, now_ms: u64) -> bool {
-        self.clean
-            && self.life.is_some()
+    fn accepts_runs(&self, now_ms: u64) -> bool {
+        self.has_no_leftovers
+            && self.announced_instance.is_some()
             && self.is_trusted(now_ms)
             && !self.is_leaving()
             && !self.draining
             && !self.is_evacuated
-            && !self.is_withdrawn()
+            && !self.has_pending_withdrawal()
     }
 
     /// Whether the upstream answered a renewal lately.
@@ -487,17 +490,17 @@
     }
 
     fn trusted_ms(&self) -> u64 {
-        self.limits.lease_ms * TRUSTED_PERCENT / 100
+        self.limits.lease_ms * TRUSTED_LEASE_PERCENT / 100
     }
 
     /// Sends back what cannot be in time for anybody, and puts what is late
     /// behind what is not.
-    fn sort_out(&mut self, now_ms: u64) {
+    fn reorder_waiting(&mut self, now_ms: u64) {
         while let Some(&(rank, key)) = self.waiting.first() {
             let run = &mut self.runs[key];
             if now_ms + u64::from(run.run_ms) > run.give_up_ms {
                 self.settle(key, RunEvent::NotStarted(NotStarted::TooLate));
-            } else if rank.is_beginning && !rank.is_late && rank.start_by_ms < now_ms {
+            } else if rank.is_job_mostly_waiting && !rank.is_late && rank.start_by_ms < now_ms {
                 self.waiting.remove(&(rank, key));
                 run.rank.is_late = true;
                 self.waiting.insert((run.rank, key));
@@ -508,7 +511,7 @@
     }
 
     /// Sends back waiting tasks whose time has passed, and forgets crashes of long ago.
-    pub fn expire(&mut self, now_ms: u64) {
+    pub fn drop_expired(&mut self, now_ms: u64) {
         self.crash_log.expire(now_ms);
         let too_late = |run: &Run| now_ms + u64::from(run.run_ms) > run.give_up_ms;
         let expired = self.waiting.iter().filter(|(_, key)| too_late(&self.runs[*key]));
@@ -520,17 +523,23 @@
 
     /// The upstream's clock, as far as it is known.
     #[must_use]
-    pub fn clock_ms(&self, now_ms: u64) -> Option<u64> {
-        self.clock.map(|(clock_ms, at_ms)| clock_ms + now_ms.saturating_sub(at_ms))
+    pub fn upstream_clock_ms(&self, now_ms: u64) -> Option<u64> {
+        self.upstream_clock.map(|(clock_ms, at_ms)| clock_ms + now_ms.saturating_sub(at_ms))
     }
 
     /// Takes note of the upstream's answer to a start.
-    pub fn start_answered(&mut self, task: TaskKey, run: u32, answer: StartAnswer, now_ms: u64) {
-        self.ordered = self.ordered.saturating_sub(1);
-        let Some(key) = self.find(task, run) else { return };
+    pub fn handle_start_answer(
+        &mut self,
+        task: TaskKey,
+        run: u32,
+        answer: StartAnswer,
+        now_ms: u64,
+    ) {
+        self.pending_starts = self.pending_starts.saturating_sub(1);
+        let Some(key) = self.find_run(task, run) else { return };
         match (answer, self.runs[key].phase) {
-            // Which life carried an orphaned order out is not known.
-            (StartAnswer::Started, Phase::Ordered { .. }) => self.confirm(key, now_ms),
+            // Which instance carried an orphaned order out is not known.
+            (StartAnswer::Started, Phase::Ordered { .. }) => self.mark_running(key, now_ms),
             (StartAnswer::Unanswered, Phase::Ordered { since_ms, late_after_clock_ms, .. }) => {
                 let unanswered = true;
                 self.runs[key].phase = Phase::Ordered { since_ms, late_after_clock_ms, unanswered };
@@ -539,21 +548,21 @@
                 if why == StartRefusal::Unhealthy {
                     self.note_failure(true, now_ms);
                 }
-                self.settle(key, RunEvent::NotStarted(refusal(why)));
+                self.settle(key, RunEvent::NotStarted(not_started_reason(why)));
             }
             _ => {}
         }
     }
 
-    fn find(&self, task: TaskKey, number: u32) -> Option<RunKey> {
+    fn find_run(&self, task: TaskKey, number: u32) -> Option<RunKey> {
         let key = *self.by_task.get(&task)?;
         (self.runs[key].number == number).then_some(key)
     }
 
-    fn confirm(&mut self, key: RunKey, now_ms: u64) {
+    fn mark_running(&mut self, key: RunKey, now_ms: u64) {
         let run = &mut self.runs[key];
         run.phase = Phase::Running { since_ms: now_ms };
-        if !std::mem::replace(&mut run.told_started, true) {
+        if !std::mem::replace(&mut run.start_reported, true) {
             let (owner, task, number) = (run.owner, run.task, run.number);
             self.push_report(owner, task, number, RunEvent::Started);
         }
@@ -561,7 +570,7 @@
 
     /// Stops to be sent now, of runs and of what an earlier agent left.
     pub fn stops_due(&mut self, now_ms: u64) -> Vec<(TaskKey, u32)> {
-        let again_ms = self.limits.stop_again_ms;
+        let again_ms = self.limits.stop_retry_ms;
         let is_due = |stop: &Stop| stop.sent_ms.is_none_or(|sent_ms| now_ms >= sent_ms + again_ms);
         let mut due = Vec::new();
         for run in self.runs.values_mut() {
@@ -597,10 +606,10 @@
 
     fn push_report(&mut self, owner: Incarnation, task: TaskKey, run: u32, event: RunEvent) {
         if event == RunEvent::Crashed {
-            self.crash_log.note(task);
+            self.crash_log.record_own(task);
         }
-        self.owners.report(owner, task, run, event);
-        self.decided.push(Decided { owner, task, run, event, taken: self.taken });
+        self.owners.push_report(owner, task, run, event);
+        self.decided.push(RunDecision { owner, task, run, event, taken: self.taken });
     }
 
     /// Reports to an entry that it has not confirmed.
@@ -618,27 +627,27 @@
         own: Incarnation,
         now_ms: u64,
     ) -> (Vec<TaskCrashes>, u64) {
-        (self.crash_log.after(number, own, now_ms), self.crash_log.last())
+        (self.crash_log.after(number, own, now_ms), self.crash_log.last_number())
     }
 
     /// An entry tells of tasks under which upstreams of other agents crashed.
-    pub fn crashes_told(&mut self, told: &[TaskCrashes], own: Incarnation, now_ms: u64) {
+    pub fn learn_crashes(&mut self, told: &[TaskCrashes], own: Incarnation, now_ms: u64) {
         let of_others = told.iter().filter(|told| told.agent != own);
-        of_others.for_each(|told| self.crash_log.learn(told, now_ms));
+        of_others.for_each(|told| self.crash_log.record_remote(told, now_ms));
     }
 
     /// An entry has taken note of its reports up to this number.
-    pub fn confirmed(&mut self, owner: Incarnation, number: u64) {
-        self.owners.confirmed(owner, number);
+    pub fn confirm_reports(&mut self, owner: Incarnation, number: u64) {
+        self.owners.confirm_reports(owner, number);
     }
 
     /// Decisions since the last call, for the log and the counters.
-    pub fn take_decided(&mut self) -> Vec<Decided> {
+    pub fn take_decisions(&mut self) -> Vec<RunDecision> {
         std::mem::take(&mut self.decided)
     }
 }
 
-fn refusal(why: StartRefusal) -> NotStarted {
+fn not_started_reason(why: StartRefusal) -> NotStarted {
     match why {
         StartRefusal::Fenced => NotStarted::NoUpstream,
         StartRefusal::OldRun => NotStarted::OldRun,
--- a/crates/decide/src/ledger/owners.rs
+++ b/crates/decide/src/ledger/owners.rs
@@ -24,18 +24,18 @@
 }
 
 impl Owners {
-    pub(super) fn heard(&mut self, owner: Incarnation, now_ms: u64) {
+    pub(super) fn note_contact(&mut self, owner: Incarnation, now_ms: u64) {
         let owner = self.owners.entry(owner).or_default();
         owner.heard_ms = owner.heard_ms.max(now_ms);
     }
 
-    pub(super) fn silent(&self, now_ms: u64, longest_ms: u64) -> Vec<Incarnation> {
-        let silent = self.owners.iter().filter(|(_, owner)| now_ms >= owner.heard_ms + longest_ms);
+    pub(super) fn silent_owners(&self, now_ms: u64, timeout_ms: u64) -> Vec<Incarnation> {
+        let silent = self.owners.iter().filter(|(_, owner)| now_ms >= owner.heard_ms + timeout_ms);
         silent.map(|(owner, _)| *owner).collect()
     }
 
-    pub(super) fn is_fresh(&self, owner: Incarnation, now_ms: u64, longest_ms: u64) -> bool {
-        self.owners.get(&owner).is_some_and(|owner| now_ms < owner.heard_ms + longest_ms)
+    pub(super) fn is_fresh(&self, owner: Incarnation, now_ms: u64, timeout_ms: u64) -> bool {
+        self.owners.get(&owner).is_some_and(|owner| now_ms < owner.heard_ms + timeout_ms)
     }
 
     pub(super) fn remove(&mut self, owner: Incarnation) {
@@ -43,7 +43,13 @@
     }
 
     /// Adds a report; nobody reads those to an entry that was dropped.
-    pub(super) fn report(&mut self, owner: Incarnation, task: TaskKey, run: u32, event: RunEvent) {
+    pub(super) fn push_report(
+        &mut self,
+        owner: Incarnation,
+        task: TaskKey,
+        run: u32,
+        event: RunEvent,
+    ) {
         let Some(owner) = self.owners.get_mut(&owner) else { return };
         self.last_number += 1;
         owner.unconfirmed.push_back(RunReport { number: self.last_number, task, run, event });
@@ -59,7 +65,7 @@
         self.owners.get(&owner).is_some_and(|owner| owner.unconfirmed.iter().any(is_of))
     }
 
-    pub(super) fn confirmed(&mut self, owner: Incarnation, number: u64) {
+    pub(super) fn confirm_reports(&mut self, owner: Incarnation, number: u64) {
         let Some(owner) = self.owners.get_mut(&owner) else { return };
         while owner.unconfirmed.front().is_some_and(|report| report.number <= number) {
             owner.unconfirmed.pop_front();
--- a/crates/decide/src/ledger/renewal.rs
+++ b/crates/decide/src/ledger/renewal.rs
@@ -3,8 +3,8 @@
 
 use {
     super::{
-        CLOCK_DRIFT_PERCENT, DOUBT_MS, EndKind, Ended, LeaseAnswer, Ledger, LifeEnd, Phase, Stop,
-        Suspension, lives::orphan_end, load::is_overdue,
+        CLOCK_DRIFT_PERCENT, EndKind, InstanceEnd, LeaseAnswer, Ledger, Phase, RunEnd,
+        START_CONFIRM_WITHIN_MS, Stop, Suspension, instances::orphan_end, load::is_overdue,
     },
     std::collections::BTreeMap,
     sycamorerail_wire::runs::{NotStarted, RunEvent, TaskKey},
@@ -16,15 +16,15 @@
     /// it would never be sure that the lease has lapsed.
     #[must_use]
     pub fn lease_until_clock_ms(&self, now_ms: u64) -> Option<u64> {
-        let clock_ms = self.clock_ms(now_ms)?;
+        let clock_ms = self.upstream_clock_ms(now_ms)?;
         let may_renew = self.renewed_ms.is_none() || self.is_trusted(now_ms);
         may_renew.then_some(clock_ms + self.limits.lease_ms)
     }
 
     /// The upstream confirmed a stop: a start of this run that it has not
     /// carried out is refused from now on.
-    pub fn stop_confirmed(&mut self, task: TaskKey, run: u32, now_ms: u64) {
-        let Some(key) = self.find(task, run) else { return };
+    pub fn handle_stop_confirmation(&mut self, task: TaskKey, run: u32, now_ms: u64) {
+        let Some(key) = self.find_run(task, run) else { return };
         if let Some(stop) = &mut self.runs[key].stop {
             stop.confirmed_ms.get_or_insert(now_ms);
         }
@@ -32,64 +32,64 @@
 
     /// Highest number of an end that was taken note of.
     #[must_use]
-    pub fn acknowledged(&self) -> u64 {
+    pub fn last_acknowledged_end(&self) -> u64 {
         self.acknowledged
     }
 
     /// Takes note of the upstream's answer to a renewal of the lease.
-    pub fn renewed(&mut self, answer: &LeaseAnswer, now_ms: u64) {
+    pub fn handle_renewal_answer(&mut self, answer: &LeaseAnswer, now_ms: u64) {
         if self.renewed_ms.is_some_and(|last_ms| answer.sent_ms < last_ms) {
             // It was overtaken: what it lists as running may be over.
             return;
         }
-        if self.present.as_ref() != Some(&answer.life) {
-            return self.answered_by_other(answer, now_ms);
+        if self.current_instance.as_ref() != Some(&answer.instance) {
+            return self.handle_other_instance(answer, now_ms);
         }
-        self.drop_doubts(answer);
+        self.drop_refuted_doubts(answer);
         if answer.fence < self.fence() {
             // Orders with the fence of that call may still be carried out after it.
             return;
         }
-        self.order_fence.accepted();
+        self.order_fence.reset_refusals();
         self.note_answer(answer, now_ms);
         for ended in &answer.ended {
-            self.end(ended, now_ms);
+            self.handle_run_end(ended, now_ms);
         }
         for &(task, number) in &answer.running {
-            match self.find(task, number) {
+            match self.find_run(task, number) {
                 Some(key)
                     if matches!(
                         self.runs[key].phase,
                         Phase::Ordered { .. } | Phase::Orphaned { .. }
                     ) =>
                 {
-                    self.confirm(key, now_ms);
+                    self.mark_running(key, now_ms);
                 }
                 _ => {}
             }
         }
-        self.settle_absent(answer);
-        self.recall_doubtful(answer);
+        self.settle_unlisted(answer);
+        self.stop_unconfirmed_starts(answer);
         self.note_leftovers(&answer.running);
     }
 
-    /// Takes note of the clock that an answer of the present life tells, and of when its
+    /// Takes note of the clock that an answer of the present instance tells, and of when its
     /// lease lapses.
     pub(super) fn note_answer(&mut self, answer: &LeaseAnswer, now_ms: u64) {
-        self.clock = Some((answer.clock_ms, now_ms));
+        self.upstream_clock = Some((answer.clock_ms, now_ms));
         self.renewed_ms = Some(answer.sent_ms);
-        self.lapsed_ms = answer.sent_ms + self.lapse_ms();
+        self.lapsed_ms = answer.sent_ms + self.lapse_after_ms();
         if answer.sent_ms < self.suspension.noticed_ms {
             self.lapsed_ms += self.suspension.last_ms;
         }
     }
 
-    fn end(&mut self, ended: &Ended, now_ms: u64) {
+    fn handle_run_end(&mut self, ended: &RunEnd, now_ms: u64) {
         if ended.number <= self.acknowledged {
             return;
         }
         self.acknowledged = ended.number;
-        let Some(key) = self.find(ended.task, ended.run) else { return };
+        let Some(key) = self.find_run(ended.task, ended.run) else { return };
         let run = &self.runs[key];
         let ran_ms = match run.phase {
             Phase::Running { since_ms } => now_ms.saturating_sub(since_ms),
@@ -119,8 +119,8 @@
     }
 
     /// Settles runs that the upstream would have listed if they ran.
-    fn settle_absent(&mut self, answer: &LeaseAnswer) {
-        for key in self.active() {
+    fn settle_unlisted(&mut self, answer: &LeaseAnswer) {
+        for key in self.active_runs() {
             let run = &self.runs[key];
             if answer.running.contains(&(run.task, run.number)) {
                 continue;
@@ -148,29 +148,29 @@
     /// Has starts stopped that should have been carried out by now and were not:
     /// once the stop is confirmed they never are, and the task can go elsewhere
     /// long before the order is too late.
-    fn recall_doubtful(&mut self, answer: &LeaseAnswer) {
+    fn stop_unconfirmed_starts(&mut self, answer: &LeaseAnswer) {
         for run in self.runs.values_mut() {
             let Phase::Ordered { since_ms, .. } = run.phase else { continue };
-            if run.stop.is_none() && since_ms + DOUBT_MS <= answer.sent_ms {
+            if run.stop.is_none() && since_ms + START_CONFIRM_WITHIN_MS <= answer.sent_ms {
                 run.stop = Some(Stop { sent_ms: None, confirmed_ms: None });
             }
         }
     }
 
     fn note_leftovers(&mut self, running: &[(TaskKey, u32)]) {
-        let foreign = running.iter().filter(|&&(task, run)| self.find(task, run).is_none());
+        let foreign = running.iter().filter(|&&(task, run)| self.find_run(task, run).is_none());
         let never = Stop { sent_ms: None, confirmed_ms: None };
         let leftovers: BTreeMap<_, _> =
             foreign.map(|run| (*run, self.leftovers.get(run).copied().unwrap_or(never))).collect();
         self.leftovers = leftovers;
-        self.clean = self.leftovers.is_empty();
+        self.has_no_leftovers = self.leftovers.is_empty();
     }
 
     /// Takes note of how long the VM was suspended so far, since the process began.
     ///
     /// Entries have not heard it meanwhile, so trust and silence count that time. The
     /// upstream's clock may have stood still with it, so the lapse of a lease does not.
-    pub fn note_suspended(&mut self, total_ms: u64, now_ms: u64) {
+    pub fn note_suspension(&mut self, total_ms: u64, now_ms: u64) {
         let last_ms = total_ms.saturating_sub(self.suspension.total_ms);
         if last_ms == 0 {
             return;
@@ -181,9 +181,9 @@
 
     /// Declares runs lost whose lease has surely lapsed. Their room stays taken
     /// until the upstream answers again.
-    pub fn check_lapse(&mut self, now_ms: u64) {
+    pub fn check_lease_lapse(&mut self, now_ms: u64) {
         if now_ms >= self.lapsed_ms {
-            self.lose_orphans();
+            self.settle_orphans();
         }
         if self.renewed_ms.is_none() {
             return;
@@ -195,18 +195,18 @@
         if now_ms < self.lapsed_ms {
             return;
         }
-        self.lose_active(RunEvent::Lost);
+        self.settle_active(RunEvent::Lost);
         // What may still be listed is stopped and waited for, as after a restart.
-        self.clean = false;
+        self.has_no_leftovers = false;
         self.renewed_ms = None;
-        if self.is_withdrawn() {
-            self.lose_upstream(LifeEnd::Left);
+        if self.has_pending_withdrawal() {
+            self.end_instance(InstanceEnd::Left);
         }
     }
 
     /// Time from the last answered renewal after which the lease has surely
     /// lapsed: unanswered ones were sent until it was trusted no more.
-    fn lapse_ms(&self) -> u64 {
+    fn lapse_after_ms(&self) -> u64 {
         let lease_ms = self.limits.lease_ms;
         self.trusted_ms() + lease_ms + lease_ms * CLOCK_DRIFT_PERCENT / 100
     }
--- a/crates/decide/src/ledger/types.rs
+++ b/crates/decide/src/ledger/types.rs
@@ -16,11 +16,11 @@
     /// A start that reaches the upstream later than this is refused there.
     pub start_within_ms: u64,
     /// An entry not heard for this long has lost its runs.
-    pub owner_silence_ms: u64,
+    pub owner_timeout_ms: u64,
     /// A stop that is not confirmed is sent again after this.
-    pub stop_again_ms: u64,
+    pub stop_retry_ms: u64,
     /// Starts sent to the upstream and not answered, at most.
-    pub max_ordered: usize,
+    pub max_pending_starts: usize,
 }
 
 impl Default for LedgerLimits {
@@ -32,11 +32,11 @@
             start_within_ms: 300,
             // With stop and slack below the 1,300 ms after which a caller may
             // hand the job in again at another entry.
-            owner_silence_ms: 900,
+            owner_timeout_ms: 900,
             // Thirty times the usual answer: one in twenty may be lost.
-            stop_again_ms: 60,
+            stop_retry_ms: 60,
             // Each occupies a connection to the upstream.
-            max_ordered: 8,
+            max_pending_starts: 8,
         }
     }
 }
@@ -93,9 +93,9 @@
     Lapsed,
 }
 
-/// How an upstream's life ended.
+/// How an upstream's instance ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LifeEnd {
+pub enum InstanceEnd {
     /// It is gone without a word.
     Crashed,
     /// It said that it is gone.
@@ -106,23 +106,23 @@
 
 /// What becomes of an announcement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Announced {
+pub enum AnnouncementOutcome {
     /// It says nothing new.
-    Known,
+    Unchanged,
     /// It is believed.
-    Believed,
-    /// The life that answers calls is another one: the next answer decides.
+    Accepted,
+    /// The instance that answers calls is another one: the next answer decides.
     Doubted,
-    /// It is ignored, as it puts a known life into another pool.
+    /// It is ignored, as it puts a known instance into another pool.
     Ignored,
 }
 
 /// What becomes of a withdrawal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Withdrawn {
+pub enum WithdrawalOutcome {
     /// The upstream is gone.
-    Believed,
-    /// It may be an earlier life's: the next answer decides, and nothing starts until then.
+    Accepted,
+    /// It may be an earlier instance's: the next answer decides, and nothing starts until then.
     Doubted,
     /// It names another upstream.
     Ignored,
@@ -130,8 +130,8 @@
 
 /// An end that the upstream lists.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ended {
-    /// Its number; rises over the upstream's life.
+pub struct RunEnd {
+    /// Its number; rises over the upstream's instance.
     pub number: u64,
     /// The task.
     pub task: TaskKey,
@@ -144,8 +144,8 @@
 /// An upstream's answer to a renewal of the lease.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LeaseAnswer {
-    /// The life that answered.
-    pub life: InstanceId,
+    /// The instance that answered.
+    pub instance: InstanceId,
     /// Fence of the renewal.
     pub fence: u64,
     /// When the renewal was sent.
@@ -155,12 +155,12 @@
     /// All that runs there.
     pub running: Vec<(TaskKey, u32)>,
     /// Ends not acknowledged yet.
-    pub ended: Vec<Ended>,
+    pub ended: Vec<RunEnd>,
 }
 
 /// A decision worth a log line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Decided {
+pub struct RunDecision {
     /// Whose run it is.
     pub owner: Incarnation,
     /// The task.
--- a/crates/decide/tests/cold.rs
+++ b/crates/decide/tests/cold.rs
@@ -26,19 +26,19 @@
 fn a_life_is_cold_for_as_long_as_it_said_last() {
     let mut ledger = ledger();
     assert_eq!(ledger.cold_until_ms(100), None);
-    ledger.announced_cold(started(1), 3_000, 100);
+    ledger.handle_cold_announcement(started(1), 3_000, 100);
     assert_eq!(ledger.cold_until_ms(3_099), Some(3_100));
     assert_eq!(ledger.cold_until_ms(3_100), None);
-    ledger.announced_cold(started(1), 1_500, 1_600);
+    ledger.handle_cold_announcement(started(1), 1_500, 1_600);
     assert_eq!(ledger.cold_until_ms(1_600), Some(3_100));
-    ledger.announced_cold(started(1), 0, 1_700);
+    ledger.handle_cold_announcement(started(1), 0, 1_700);
     assert_eq!(ledger.cold_until_ms(1_700), None);
 }
 
 #[test]
 fn one_announcement_counts_for_a_few_seconds_at_most() {
     let mut ledger = ledger();
-    ledger.announced_cold(started(1), u64::MAX, 100);
+    ledger.handle_cold_announcement(started(1), u64::MAX, 100);
     assert_eq!(ledger.cold_until_ms(100), Some(5_100));
 }
 
@@ -46,17 +46,17 @@
 #[test]
 fn what_a_life_said_counts_for_that_life() {
     let mut ledger = ledger();
-    ledger.announced_cold(started(2), 3_000, 100);
+    ledger.handle_cold_announcement(started(2), 3_000, 100);
     assert_eq!(ledger.cold_until_ms(100), None);
     ledger.set_upstream(life(&started(2)));
     assert_eq!(ledger.cold_until_ms(200), Some(3_100));
-    ledger.announced_cold(started(1), 0, 300);
+    ledger.handle_cold_announcement(started(1), 0, 300);
     assert_eq!(ledger.cold_until_ms(300), Some(3_100), "said by an earlier life");
 }
 
 #[test]
 fn a_life_that_does_not_tell_its_start_is_known_by_its_id() {
     let mut ledger = ledger();
-    ledger.announced_cold(InstanceId::without_start("a"), 3_000, 100);
+    ledger.handle_cold_announcement(InstanceId::without_start("a"), 3_000, 100);
     assert_eq!(ledger.cold_until_ms(100), Some(3_100));
 }
--- a/crates/decide/tests/crashes.rs
+++ b/crates/decide/tests/crashes.rs
@@ -12,7 +12,7 @@
             AgentKey, Command, Dispatch, DispatchLimits, JobAnswer, JobKey, JobRequest,
             KindParameters, NoResultReason, StepRequest,
         },
-        ledger::{LeaseAnswer, Ledger, LedgerLimits, LifeEnd, StartAnswer},
+        ledger::{InstanceEnd, LeaseAnswer, Ledger, LedgerLimits, StartAnswer},
     },
     sycamorerail_wire::{
         ids::Incarnation,
@@ -49,14 +49,14 @@
 fn running() -> Ledger {
     let mut ledger = Ledger::new(LedgerLimits::default());
     ledger.set_upstream(life("a", false));
-    ledger.owner_heard(ENTRY, 1);
+    ledger.note_owner_contact(ENTRY, 1);
     let answer = LeaseAnswer {
-        life: InstanceId::without_start("a"),
+        instance: InstanceId::without_start("a"),
         sent_ms: 1,
         clock_ms: 50_001,
         ..LeaseAnswer::default()
     };
-    ledger.renewed(&answer, 1);
+    ledger.handle_renewal_answer(&answer, 1);
     let placement = StepPlacement {
         job: CallerJobId(1),
         step: 0,
@@ -72,7 +72,7 @@
     };
     ledger.place(ENTRY, placement, 2);
     let order = ledger.next_start(2).unwrap();
-    ledger.start_answered(order.task, order.run, StartAnswer::Started, 3);
+    ledger.handle_start_answer(order.task, order.run, StartAnswer::Started, 3);
     ledger
 }
 
@@ -86,14 +86,14 @@
     ledger.set_upstream(life("b", false));
     assert_eq!(last_event(&ledger), RunEvent::Crashed);
     let mut ledger = running();
-    ledger.lose_upstream(LifeEnd::Crashed);
+    ledger.end_instance(InstanceEnd::Crashed);
     assert_eq!(last_event(&ledger), RunEvent::Crashed);
 }
 
 #[test]
 fn an_upstream_that_left_or_said_that_it_leaves_has_not_crashed() {
     let mut ledger = running();
-    ledger.lose_upstream(LifeEnd::Left);
+    ledger.end_instance(InstanceEnd::Left);
     assert_eq!(last_event(&ledger), RunEvent::Lost);
     let mut ledger = running();
     ledger.set_upstream(life("a", true));
@@ -104,7 +104,7 @@
 #[test]
 fn a_lease_that_lapsed_is_no_crash() {
     let mut ledger = running();
-    ledger.check_lapse(5_000);
+    ledger.check_lease_lapse(5_000);
     assert_eq!(last_event(&ledger), RunEvent::Lost);
 }
 
@@ -411,7 +411,7 @@
     let mut of_suspects = first.record_crash_reports(&[told(1)], 100);
     of_suspects.extend(first.record_crash_reports(&[told(2)], 100));
     let mut agent = Ledger::new(LedgerLimits::default());
-    agent.crashes_told(&of_suspects, Incarnation(9), 100);
+    agent.learn_crashes(&of_suspects, Incarnation(9), 100);
     let (known, _) = agent.crashes_after(0, Incarnation(9), 600);
     let mut next = entry_with(3, 600).0;
     next.record_crash_reports(&known, 600);
@@ -423,16 +423,16 @@
 fn the_log_of_crashes_is_bounded_in_time() {
     let own = Incarnation(5);
     let mut ledger = running();
-    ledger.lose_upstream(LifeEnd::Crashed);
-    ledger.expire(10);
+    ledger.end_instance(InstanceEnd::Crashed);
+    ledger.drop_expired(10);
     let (told, last) = ledger.crashes_after(0, own, 40);
     assert_eq!(told, [TaskCrashes { agent: own, task: task(0), crashes: 1, ago_ms: 30 }]);
     assert_eq!(ledger.crashes_after(last, own, 40), (vec![], last));
-    ledger.crashes_told(&told, own, 40);
+    ledger.learn_crashes(&told, own, 40);
     assert_eq!(ledger.crashes_after(last, own, 40), (vec![], last), "its own");
-    ledger.expire(59_000);
+    ledger.drop_expired(59_000);
     assert_eq!(ledger.crashes_after(0, own, 59_000).0.len(), 1);
-    ledger.expire(61_000);
+    ledger.drop_expired(61_000);
     assert_eq!(ledger.crashes_after(0, own, 61_000).0, []);
 }
 
@@ -441,7 +441,7 @@
     let mut ledger = Ledger::new(LedgerLimits::default());
     for index in 0..1_000 {
         let told = TaskCrashes { agent: Incarnation(1), task: task(index), crashes: 2, ago_ms: 0 };
-        ledger.crashes_told(&[told], Incarnation(5), 100);
+        ledger.learn_crashes(&[told], Incarnation(5), 100);
     }
     let (kept, last) = ledger.crashes_after(0, Incarnation(5), 100);
     assert_eq!((kept.len(), last), (512, 1_000));
--- a/crates/decide/tests/evacuation.rs
+++ b/crates/decide/tests/evacuation.rs
@@ -8,7 +8,7 @@
             AgentKey, Command, Dispatch, DispatchLimits, JobAnswer, JobKey, JobRequest,
             KindParameters, NoResultReason, StepRequest,
         },
-        ledger::{EndKind, Ended, LeaseAnswer, Ledger, LedgerLimits, StartAnswer},
+        ledger::{EndKind, LeaseAnswer, Ledger, LedgerLimits, RunEnd, StartAnswer},
     },
     sycamorerail_wire::{
         ids::Incarnation,
@@ -212,11 +212,11 @@
 fn busy_ledger() -> Ledger {
     let mut ledger = Ledger::new(LedgerLimits::default());
     ledger.set_upstream(life());
-    ledger.owner_heard(ENTRY, 1);
+    ledger.note_owner_contact(ENTRY, 1);
     renew(&mut ledger, 1, &[], &[]);
     ledger.place(ENTRY, placement(1, 4), 2);
     let first = ledger.next_start(2).unwrap();
-    ledger.start_answered(first.task, first.run, StartAnswer::Started, 3);
+    ledger.handle_start_answer(first.task, first.run, StartAnswer::Started, 3);
     ledger
 }
 
@@ -236,16 +236,16 @@
     }
 }
 
-fn renew(ledger: &mut Ledger, now_ms: u64, running: &[(TaskKey, u32)], ended: &[Ended]) {
+fn renew(ledger: &mut Ledger, now_ms: u64, running: &[(TaskKey, u32)], ended: &[RunEnd]) {
     let answer = LeaseAnswer {
-        life: life().id,
+        instance: life().id,
         fence: 0,
         sent_ms: now_ms,
         clock_ms: 50_000 + now_ms,
         running: running.to_vec(),
         ended: ended.to_vec(),
     };
-    ledger.renewed(&answer, now_ms);
+    ledger.handle_renewal_answer(&answer, now_ms);
 }
 
 fn events(ledger: &Ledger) -> Vec<(u16, RunEvent)> {
@@ -262,7 +262,7 @@
     assert_eq!(told, [(0, RunEvent::Started), (1, back), (2, back), (3, back)]);
     assert!(ledger.stops_due(4).is_empty(), "what runs goes on");
     let task = TaskKey { job: CallerJobId(1), step: 0, index: 0 };
-    let done = Ended { number: 1, task, run: 1, kind: EndKind::Done };
+    let done = RunEnd { number: 1, task, run: 1, kind: EndKind::Done };
     renew(&mut ledger, 103, &[], &[done]);
     assert_eq!(events(&ledger).last(), Some(&(0, RunEvent::Done { run_ms: 100 })));
 }
--- a/crates/decide/tests/fence.rs
+++ b/crates/decide/tests/fence.rs
@@ -3,10 +3,10 @@
 use {
     std::collections::{BTreeMap, BTreeSet},
     sycamorerail_decide::fence::{
-        Conclusion, Heard, Known, Roster,
-        collect::{Collector, FenceTimes, MAX_JOBS, Request},
+        AgentAnswers, Conclusion, JobFacts, Roster,
+        collector::{Collector, FenceTimes, MAX_JOBS_PER_MESSAGE, Request},
         conclude as conclude_heard,
-        lost::{HomeWatch, Sighting, Standing},
+        home_watch::{HomeState, HomeWatch, ReachResult},
     },
     sycamorerail_wire::{
         answer::{Payload, Reason, TaskEnd, TaskRecord, TaskReport},
@@ -19,8 +19,8 @@
 const TWO: Incarnation = Incarnation(2);
 const TIMES: FenceTimes =
     FenceTimes { window_ms: 10, answer_within_ms: 1_000, ask_again_ms: 100, unknown_kept_ms: 500 };
-const JOB: Known = Known { content: None, single_attempt: true };
-const ANY: Known = Known { content: None, single_attempt: false };
+const JOB: JobFacts = JobFacts { content: None, single_attempt: true };
+const ANY: JobFacts = JobFacts { content: None, single_attempt: false };
 
 fn id(sequence: u64) -> JobId {
     let (key, home) = (IdKey::derive("test"), "10.0.0.1:1".parse().unwrap());
@@ -51,11 +51,11 @@
 /// What agents told; `None` where they hold nothing.
 type Told = BTreeMap<Incarnation, Option<FencedJob>>;
 
-fn conclude(roster: &Roster, told: &Told, known: Known, time_up: bool) -> Conclusion {
+fn conclude(roster: &Roster, told: &Told, known: JobFacts, time_up: bool) -> Conclusion {
     let held = told.iter().filter_map(|(agent, job)| Some((*agent, job.clone()?))).collect();
     let silent_agents = roster.agents.len() - told.len();
     let gone = &BTreeSet::new();
-    let heard = Heard { held: &held, silent_agents, gone, whole: roster.whole };
+    let heard = AgentAnswers { held: &held, silent_agents, gone, whole: roster.whole };
     conclude_heard(heard, known, time_up)
 }
 
@@ -142,7 +142,7 @@
 #[test]
 fn other_content() {
     let one = held(id(0), 1, &[(0, 0, finished("a"))]);
-    let known = Known { content: Some(ContentHash::of(b"other")), single_attempt: true };
+    let known = JobFacts { content: Some(ContentHash::of(b"other")), single_attempt: true };
     let conclusion = conclude(&both(), &told(Some(one), None), known, false);
     assert_eq!(conclusion, Conclusion::Conflict);
 }
@@ -150,39 +150,40 @@
 #[test]
 fn one_message() {
     let mut collector = Collector::new(both(), TIMES);
-    collector.ask(id(0), 0);
-    collector.ask(id(1), 5);
-    collector.ask(id(0), 6);
-    assert_eq!(collector.due(9), []);
+    collector.ask_about(id(0), 0);
+    collector.ask_about(id(1), 5);
+    collector.ask_about(id(0), 6);
+    assert_eq!(collector.due_requests(9), []);
     let jobs = vec![id(0), id(1)];
     let expected =
         [Request { agent: ONE, jobs: jobs.clone() }, Request { agent: TWO, jobs: jobs.clone() }];
-    assert_eq!(collector.due(10), expected);
-    expected.iter().for_each(|request| collector.answered(request, Vec::new()));
-    collector.ask(id(0), 500);
-    assert_eq!(collector.due(600), [], "both told all they know");
+    assert_eq!(collector.due_requests(10), expected);
+    expected.iter().for_each(|request| collector.handle_answer(request, Vec::new()));
+    collector.ask_about(id(0), 500);
+    assert_eq!(collector.due_requests(600), [], "both told all they know");
     assert_eq!(collector.conclude(id(1), JOB, 600), Conclusion::NotRun);
 }
 
 #[test]
 fn message_bounded() {
     let mut collector = Collector::new(Roster { agents: vec![ONE], whole: true }, TIMES);
-    (0..=MAX_JOBS as u64).for_each(|sequence| collector.ask(id(sequence), 0));
-    let sizes: Vec<_> = collector.due(10).iter().map(|request| request.jobs.len()).collect();
-    assert_eq!(sizes, [MAX_JOBS, 1]);
+    (0..=MAX_JOBS_PER_MESSAGE as u64).for_each(|sequence| collector.ask_about(id(sequence), 0));
+    let sizes: Vec<_> =
+        collector.due_requests(10).iter().map(|request| request.jobs.len()).collect();
+    assert_eq!(sizes, [MAX_JOBS_PER_MESSAGE, 1]);
 }
 
 #[test]
 fn cut_answer() {
     let mut collector = Collector::new(Roster { agents: vec![ONE], whole: true }, TIMES);
-    (0..2).for_each(|sequence| collector.ask(id(sequence), 0));
-    let [request] = &collector.due(10)[..] else { panic!("one message") };
+    (0..2).for_each(|sequence| collector.ask_about(id(sequence), 0));
+    let [request] = &collector.due_requests(10)[..] else { panic!("one message") };
     let whole = held(id(0), 1, &[(0, 0, finished("a"))]);
     let cut = held(id(1), 1, &[(0, 0, TaskRecord::EndDropped)]);
-    collector.answered(request, vec![whole, cut]);
+    collector.handle_answer(request, vec![whole, cut]);
     let again = Request { agent: ONE, jobs: vec![id(1)] };
-    assert_eq!(collector.due(110), std::slice::from_ref(&again));
-    collector.answered(&again, vec![held(id(1), 1, &[(0, 0, finished("b"))])]);
+    assert_eq!(collector.due_requests(110), std::slice::from_ref(&again));
+    collector.handle_answer(&again, vec![held(id(1), 1, &[(0, 0, finished("b"))])]);
     let complete = Conclusion::Complete(vec![Payload("b".to_owned())]);
     assert_eq!(collector.conclude(id(1), JOB, 120), complete);
 }
@@ -190,102 +191,103 @@
 #[test]
 fn lost_answer() {
     let mut collector = Collector::new(Roster { agents: vec![ONE], whole: true }, TIMES);
-    (0..4).for_each(|sequence| collector.ask(id(sequence), 0));
-    let request = collector.due(10).remove(0);
-    collector.unanswered(&request, 50);
-    let sizes: Vec<_> = collector.due(110).iter().map(|request| request.jobs.len()).collect();
+    (0..4).for_each(|sequence| collector.ask_about(id(sequence), 0));
+    let request = collector.due_requests(10).remove(0);
+    collector.handle_no_answer(&request, 50);
+    let sizes: Vec<_> =
+        collector.due_requests(110).iter().map(|request| request.jobs.len()).collect();
     assert_eq!(sizes, [2, 2], "smaller messages, in case the answer was too long");
 }
 
 #[test]
 fn rounds_end() {
     let mut collector = Collector::new(both(), TIMES);
-    collector.ask(id(0), 0);
-    collector.due(10).iter().for_each(|request| collector.unanswered(request, 50));
+    collector.ask_about(id(0), 0);
+    collector.due_requests(10).iter().for_each(|request| collector.handle_no_answer(request, 50));
     assert!(matches!(collector.conclude(id(0), JOB, 1_000), Conclusion::Unknown { .. }));
-    assert_eq!(collector.due(1_010), [], "given up");
-    collector.ask(id(0), 1_100);
-    assert_eq!(collector.due(1_110), [], "unknown is kept for a while");
-    collector.ask(id(0), 1_600);
-    assert_eq!(collector.due(1_610).len(), 2, "asked again");
+    assert_eq!(collector.due_requests(1_010), [], "given up");
+    collector.ask_about(id(0), 1_100);
+    assert_eq!(collector.due_requests(1_110), [], "unknown is kept for a while");
+    collector.ask_about(id(0), 1_600);
+    assert_eq!(collector.due_requests(1_610).len(), 2, "asked again");
 }
 
 #[test]
 fn running_asked_again() {
     let mut collector = Collector::new(Roster { agents: vec![ONE], whole: true }, TIMES);
-    collector.ask(id(0), 0);
-    let request = collector.due(10).remove(0);
-    collector.answered(&request, vec![held(id(0), 1, &[(0, 0, TaskRecord::Running)])]);
-    assert_eq!(collector.due(110).len(), 1);
-    collector.answered(&request, vec![held(id(0), 1, &[(0, 0, finished("a"))])]);
+    collector.ask_about(id(0), 0);
+    let request = collector.due_requests(10).remove(0);
+    collector.handle_answer(&request, vec![held(id(0), 1, &[(0, 0, TaskRecord::Running)])]);
+    assert_eq!(collector.due_requests(110).len(), 1);
+    collector.handle_answer(&request, vec![held(id(0), 1, &[(0, 0, finished("a"))])]);
     assert!(collector.conclude(id(0), JOB, 120).is_final());
-    assert_eq!(collector.due(210), []);
+    assert_eq!(collector.due_requests(210), []);
     assert_eq!(collector.wake_at_ms(), None);
 }
 
 #[test]
 fn gone_while_running() {
     let mut collector = Collector::new(Roster { agents: vec![ONE], whole: true }, TIMES);
-    collector.ask(id(0), 0);
-    let request = collector.due(10).remove(0);
-    collector.answered(&request, vec![held(id(0), 1, &[(0, 0, TaskRecord::Running)])]);
-    assert_eq!(collector.due(110).len(), 1);
-    collector.unanswered(&request, 120);
+    collector.ask_about(id(0), 0);
+    let request = collector.due_requests(10).remove(0);
+    collector.handle_answer(&request, vec![held(id(0), 1, &[(0, 0, TaskRecord::Running)])]);
+    assert_eq!(collector.due_requests(110).len(), 1);
+    collector.handle_no_answer(&request, 120);
     let running = Conclusion::Running { tasks_started: 1 };
     assert_eq!(collector.conclude(id(0), JOB, 1_119), running);
     let conclusion = collector.conclude(id(0), JOB, 1_120);
     assert!(matches!(conclusion, Conclusion::Unknown { tasks_started: 1, .. }));
-    assert_eq!(collector.due(1_120).len(), 1, "asked on");
-    collector.answered(&request, vec![held(id(0), 1, &[(0, 0, finished("a"))])]);
+    assert_eq!(collector.due_requests(1_120).len(), 1, "asked on");
+    collector.handle_answer(&request, vec![held(id(0), 1, &[(0, 0, finished("a"))])]);
     assert!(collector.conclude(id(0), JOB, 1_130).is_final());
 }
 
 #[test]
 fn lost_by_both() {
     let mut watch = HomeWatch::new(1_000);
-    assert_eq!(watch.standing(), Standing::Reachable);
-    watch.sighted(Sighting::Unreachable, 0);
-    assert_eq!(watch.standing(), Standing::InDoubt { retry_after_ms: 1_000 });
-    (1..=10).for_each(|step| watch.sighted(Sighting::Unreachable, step * 200));
-    assert_eq!(watch.standing(), Standing::InDoubt { retry_after_ms: 1_000 });
-    (10..=15).for_each(|step| watch.witnessed(Sighting::Unreachable, step * 200));
-    assert_eq!(watch.standing(), Standing::Lost);
+    assert_eq!(watch.state(), HomeState::Reachable);
+    watch.note_own_attempt(ReachResult::Unreachable, 0);
+    assert_eq!(watch.state(), HomeState::InDoubt { retry_after_ms: 1_000 });
+    (1..=10).for_each(|step| watch.note_own_attempt(ReachResult::Unreachable, step * 200));
+    assert_eq!(watch.state(), HomeState::InDoubt { retry_after_ms: 1_000 });
+    (10..=15).for_each(|step| watch.note_witness_attempt(ReachResult::Unreachable, step * 200));
+    assert_eq!(watch.state(), HomeState::Lost);
 }
 
 #[test]
 fn answer_resets() {
     let mut watch = HomeWatch::new(1_000);
-    (0..5).for_each(|step| watch.sighted(Sighting::Unreachable, step * 200));
-    (0..6).for_each(|step| watch.witnessed(Sighting::Unreachable, step * 200));
-    watch.sighted(Sighting::Answered, 1_000);
-    assert_eq!(watch.standing(), Standing::Reachable);
-    watch.sighted(Sighting::Unreachable, 1_200);
-    assert!(matches!(watch.standing(), Standing::InDoubt { .. }));
+    (0..5).for_each(|step| watch.note_own_attempt(ReachResult::Unreachable, step * 200));
+    (0..6).for_each(|step| watch.note_witness_attempt(ReachResult::Unreachable, step * 200));
+    watch.note_own_attempt(ReachResult::Answered, 1_000);
+    assert_eq!(watch.state(), HomeState::Reachable);
+    watch.note_own_attempt(ReachResult::Unreachable, 1_200);
+    assert!(matches!(watch.state(), HomeState::InDoubt { .. }));
 }
 
 #[test]
 fn witness_reaches() {
     let mut watch = HomeWatch::new(1_000);
-    (0..20).for_each(|step| watch.sighted(Sighting::Unreachable, step * 200));
-    (0..20).for_each(|step| watch.witnessed(Sighting::Answered, step * 200));
-    assert!(matches!(watch.standing(), Standing::InDoubt { .. }));
+    (0..20).for_each(|step| watch.note_own_attempt(ReachResult::Unreachable, step * 200));
+    (0..20).for_each(|step| watch.note_witness_attempt(ReachResult::Answered, step * 200));
+    assert!(matches!(watch.state(), HomeState::InDoubt { .. }));
 }
 
 #[test]
 fn gap_resets() {
     let mut watch = HomeWatch::new(1_000);
     for now_ms in [0, 5_000] {
-        watch.sighted(Sighting::Unreachable, now_ms);
-        watch.witnessed(Sighting::Unreachable, now_ms);
+        watch.note_own_attempt(ReachResult::Unreachable, now_ms);
+        watch.note_witness_attempt(ReachResult::Unreachable, now_ms);
     }
-    assert_eq!(watch.standing(), Standing::InDoubt { retry_after_ms: 1_000 });
+    assert_eq!(watch.state(), HomeState::InDoubt { retry_after_ms: 1_000 });
 }
 
 #[test]
 fn other_run() {
-    for sighting in [Sighting::OtherIncarnation, Sighting::Refused] {
+    for sighting in [ReachResult::OtherIncarnation, ReachResult::Refused] {
         let mut watch = HomeWatch::new(1_000);
-        watch.sighted(sighting, 5);
-        assert_eq!(watch.standing(), Standing::Lost);
+        watch.note_own_attempt(sighting, 5);
+        assert_eq!(watch.state(), HomeState::Lost);
     }
 }
--- a/crates/decide/tests/fence_model.rs
+++ b/crates/decide/tests/fence_model.rs
@@ -9,8 +9,8 @@
     std::{collections::BTreeMap, sync::Arc},
     sycamorerail_decide::{
         fence::{
-            Conclusion, Known, Roster,
-            collect::{Collector, FenceTimes, Request},
+            Conclusion, JobFacts, Roster,
+            collector::{Collector, FenceTimes, Request},
         },
         gate::{Gate, Go, Limits, Placed, Settled, Start, UpstreamState},
         job::{Action, Event, Job, JobParameters, PlacementKey, Reply, TaskAttempt},
@@ -279,7 +279,7 @@
             Message::Fence { fencer, request } => self.agent_fenced(fencer, request),
             Message::Fenced { fencer, request, held } => {
                 if let Some(collector) = &mut self.collectors[fencer] {
-                    collector.answered(&request, held);
+                    collector.handle_answer(&request, held);
                 }
             }
         }
@@ -443,7 +443,7 @@
         let at = usize::try_from(request.agent.0 - 100).unwrap();
         if !self.agents[at].alive {
             if let Some(collector) = &mut self.collectors[fencer] {
-                collector.unanswered(&request, self.now_ms);
+                collector.handle_no_answer(&request, self.now_ms);
             }
             return;
         }
@@ -476,7 +476,7 @@
             }
             Message::Fence { fencer, request } | Message::Fenced { fencer, request, .. } => {
                 if let Some(collector) = &mut self.collectors[fencer] {
-                    collector.unanswered(&request, self.now_ms);
+                    collector.handle_no_answer(&request, self.now_ms);
                 }
             }
         }
@@ -496,7 +496,7 @@
 
     fn ask(&mut self, fencer: usize, job: usize) {
         if let Some(collector) = &mut self.collectors[fencer] {
-            collector.ask(self.ids[job], self.now_ms);
+            collector.ask_about(self.ids[job], self.now_ms);
         }
     }
 
@@ -504,7 +504,7 @@
         self.now_ms += ms;
         for fencer in 0..FENCERS {
             if let Some(collector) = &mut self.collectors[fencer] {
-                let requests = collector.due(self.now_ms);
+                let requests = collector.due_requests(self.now_ms);
                 let fence = |request| Message::Fence { fencer, request };
                 self.messages.extend(requests.into_iter().map(fence));
             }
@@ -520,7 +520,8 @@
         for fencer in 0..FENCERS {
             for job in 0..JOBS.len() {
                 let Some(collector) = &self.collectors[fencer] else { continue };
-                let known = Known { content: Some(content(job)), single_attempt: job != REQUEST };
+                let known =
+                    JobFacts { content: Some(content(job)), single_attempt: job != REQUEST };
                 let conclusion = collector.conclude(self.ids[job], known, self.now_ms);
                 assert_ne!(conclusion, Conclusion::Conflict);
                 if conclusion.is_final() {
--- a/crates/decide/tests/ledger.rs
+++ b/crates/decide/tests/ledger.rs
@@ -2,7 +2,7 @@
 
 use {
     sycamorerail_decide::ledger::{
-        EndKind, Ended, LeaseAnswer, Ledger, LedgerLimits, StartAnswer, StartOrder, StartRefusal,
+        EndKind, LeaseAnswer, Ledger, LedgerLimits, RunEnd, StartAnswer, StartOrder, StartRefusal,
     },
     sycamorerail_wire::{
         ids::Incarnation,
@@ -49,23 +49,23 @@
     TaskKey { job: CallerJobId(job), step: 0, index }
 }
 
-fn renew(ledger: &mut Ledger, now_ms: u64, running: &[(TaskKey, u32)], ended: &[Ended]) {
+fn renew(ledger: &mut Ledger, now_ms: u64, running: &[(TaskKey, u32)], ended: &[RunEnd]) {
     let answer = LeaseAnswer {
-        life: ledger.present().cloned().unwrap_or_default(),
+        instance: ledger.current_instance().cloned().unwrap_or_default(),
         fence: 0,
         sent_ms: now_ms,
         clock_ms: CLOCK_MS + now_ms,
         running: running.to_vec(),
         ended: ended.to_vec(),
     };
-    ledger.renewed(&answer, now_ms);
+    ledger.handle_renewal_answer(&answer, now_ms);
 }
 
 /// A ledger with a clean upstream that answered a renewal at 1 ms.
 fn ready() -> Ledger {
     let mut ledger = Ledger::new(LedgerLimits::default());
     ledger.set_upstream(life("a"));
-    ledger.owner_heard(ENTRY, 1);
+    ledger.note_owner_contact(ENTRY, 1);
     renew(&mut ledger, 1, &[], &[]);
     ledger
 }
@@ -78,8 +78,8 @@
     ledger.reports(entry).into_iter().map(|report| (report.task, report.event)).collect()
 }
 
-fn ended(number: u64, job: u64, index: u16, kind: EndKind) -> Ended {
-    Ended { number, task: task(job, index), run: 1, kind }
+fn ended(number: u64, job: u64, index: u16, kind: EndKind) -> RunEnd {
+    RunEnd { number, task: task(job, index), run: 1, kind }
 }
 
 #[test]
@@ -90,7 +90,7 @@
     assert_eq!(first.len(), 3);
     assert_eq!(ledger.load(2).taken.cpu_milli, 9_000);
     for order in &first {
-        ledger.start_answered(order.task, 1, StartAnswer::Started, 3);
+        ledger.handle_start_answer(order.task, 1, StartAnswer::Started, 3);
     }
     assert!(starts(&mut ledger, 4).is_empty());
     let running: Vec<_> = first[1..].iter().map(|order| (order.task, 1)).collect();
@@ -105,10 +105,10 @@
     ledger.place(ENTRY, placement(1, 1, 8_000), 2);
     ledger.place(ENTRY, placement(2, 1, 8_000), 2);
     let order = starts(&mut ledger, 2).remove(0);
-    ledger.start_answered(order.task, 1, StartAnswer::Started, 3);
+    ledger.handle_start_answer(order.task, 1, StartAnswer::Started, 3);
     ledger.stop_job(ENTRY, CallerJobId(1));
     assert_eq!(ledger.stops_due(4), [(order.task, 1)]);
-    ledger.stop_confirmed(order.task, 1, 5);
+    ledger.handle_stop_confirmation(order.task, 1, 5);
     assert!(starts(&mut ledger, 6).is_empty());
     renew(&mut ledger, 7, &[(order.task, 1)], &[]);
     assert!(starts(&mut ledger, 8).is_empty());
@@ -122,7 +122,7 @@
     let mut ledger = ready();
     ledger.place(ENTRY, placement(1, 1, 8_000), 2);
     let order = starts(&mut ledger, 2).remove(0);
-    ledger.start_answered(order.task, 1, StartAnswer::Unanswered, 200);
+    ledger.handle_start_answer(order.task, 1, StartAnswer::Unanswered, 200);
     ledger.place(ENTRY, placement(2, 1, 8_000), 200);
     renew(&mut ledger, 250, &[], &[]);
     assert_eq!(ledger.stops_due(250), [(order.task, 1)], "not confirmed in this test");
@@ -139,7 +139,7 @@
     let mut ledger = ready();
     ledger.place(ENTRY, placement(1, 1, 8_000), 2);
     let order = starts(&mut ledger, 2).remove(0);
-    ledger.start_answered(order.task, 1, StartAnswer::Unanswered, 200);
+    ledger.handle_start_answer(order.task, 1, StartAnswer::Unanswered, 200);
     renew(&mut ledger, 500, &[(order.task, 1)], &[]);
     assert_eq!(events(&ledger, ENTRY), [(order.task, RunEvent::Started)]);
     renew(&mut ledger, 600, &[], &[ended(1, 1, 0, EndKind::Done)]);
@@ -151,7 +151,7 @@
 fn what_an_earlier_agent_left_is_stopped_before_anything_starts() {
     let mut ledger = Ledger::new(LedgerLimits::default());
     ledger.set_upstream(life("a"));
-    ledger.owner_heard(ENTRY, 1);
+    ledger.note_owner_contact(ENTRY, 1);
     renew(&mut ledger, 1, &[(task(9, 0), 3)], &[]);
     ledger.place(ENTRY, placement(1, 1, 1_000), 2);
     assert!(starts(&mut ledger, 2).is_empty());
@@ -167,7 +167,7 @@
 fn nothing_starts_after_a_pause_until_the_upstream_answers() {
     let mut ledger = ready();
     ledger.place(ENTRY, placement(1, 1, 1_000), 2);
-    ledger.owner_heard(ENTRY, 5_000);
+    ledger.note_owner_contact(ENTRY, 5_000);
     assert!(starts(&mut ledger, 5_000).is_empty());
 }
 
@@ -176,20 +176,20 @@
     let mut ledger = ready();
     ledger.place(ENTRY, placement(1, 2, 8_000), 2);
     let order = starts(&mut ledger, 2).remove(0);
-    ledger.start_answered(order.task, 1, StartAnswer::Started, 3);
-    ledger.check_lapse(900);
+    ledger.handle_start_answer(order.task, 1, StartAnswer::Started, 3);
+    ledger.check_lease_lapse(900);
     let back = RunEvent::NotStarted(NotStarted::NoUpstream);
     assert_eq!(events(&ledger, ENTRY)[1], (task(1, 1), back));
     // The last renewal may have been sent up to 800 ms after the answered one,
     // for a second of a clock that is 2 % slow.
-    ledger.check_lapse(1 + 800 + 1_020 - 1);
+    ledger.check_lease_lapse(1 + 800 + 1_020 - 1);
     assert_eq!(events(&ledger, ENTRY).len(), 2);
     assert!(ledger.lease_until_clock_ms(1_500).is_none());
-    ledger.check_lapse(1 + 800 + 1_020);
+    ledger.check_lease_lapse(1 + 800 + 1_020);
     assert_eq!(events(&ledger, ENTRY)[2], (order.task, RunEvent::Lost));
     // The upstream still lists it: it is stopped, and nothing starts meanwhile.
     renew(&mut ledger, 3_000, &[(order.task, 1)], &[]);
-    ledger.owner_heard(ENTRY, 3_000);
+    ledger.note_owner_contact(ENTRY, 3_000);
     ledger.place(ENTRY, placement(2, 1, 1_000), 3_000);
     assert!(starts(&mut ledger, 3_000).is_empty());
     assert_eq!(ledger.stops_due(3_000), [(order.task, 1)]);
@@ -198,16 +198,16 @@
 #[test]
 fn a_silent_entry_loses_its_runs() {
     let mut ledger = ready();
-    ledger.owner_heard(OTHER_ENTRY, 800);
+    ledger.note_owner_contact(OTHER_ENTRY, 800);
     ledger.place(ENTRY, placement(1, 2, 8_000), 2);
     ledger.place(OTHER_ENTRY, placement(2, 1, 1_000), 800);
     let order = starts(&mut ledger, 2).remove(0);
-    ledger.start_answered(order.task, 1, StartAnswer::Started, 3);
+    ledger.handle_start_answer(order.task, 1, StartAnswer::Started, 3);
     assert!(ledger.drop_silent_owners(900).is_empty());
     assert_eq!(ledger.drop_silent_owners(901), [ENTRY]);
     assert_eq!(ledger.stops_due(901), [(order.task, 1)]);
-    assert_eq!(ledger.held(ENTRY), [(order.task, 1)]);
-    assert_eq!(ledger.held(OTHER_ENTRY), [(task(2, 0), 1)]);
+    assert_eq!(ledger.held_runs(ENTRY), [(order.task, 1)]);
+    assert_eq!(ledger.held_runs(OTHER_ENTRY), [(task(2, 0), 1)]);
 }
 
 #[test]
@@ -238,7 +238,7 @@
     let mut ledger = ready();
     ledger.place(ENTRY, placement(1, 2, 8_000), 2);
     let order = starts(&mut ledger, 2).remove(0);
-    ledger.start_answered(order.task, 1, StartAnswer::Started, 3);
+    ledger.handle_start_answer(order.task, 1, StartAnswer::Started, 3);
     ledger.set_upstream(UpstreamInstance { leaving: true, ..life("a") });
     ledger.place(ENTRY, placement(2, 1, 1_000), 10);
     let back = RunEvent::NotStarted(NotStarted::Leaving);
@@ -252,7 +252,7 @@
     let mut ledger = ready();
     ledger.place(ENTRY, placement(1, 1, 8_000), 2);
     let order = starts(&mut ledger, 2).remove(0);
-    ledger.start_answered(order.task, 1, StartAnswer::Started, 3);
+    ledger.handle_start_answer(order.task, 1, StartAnswer::Started, 3);
     ledger.set_upstream(life("b"));
     assert_eq!(events(&ledger, ENTRY)[1], (order.task, RunEvent::Crashed));
     assert!(!ledger.load(4).usable);
@@ -260,9 +260,9 @@
     ledger.place(ENTRY, placement(2, 1, 8_000), 5);
     renew(&mut ledger, 6, &[], &[]);
     assert_eq!(starts(&mut ledger, 6).len(), 1);
-    ledger.start_answered(task(2, 0), 1, StartAnswer::Started, 7);
+    ledger.handle_start_answer(task(2, 0), 1, StartAnswer::Started, 7);
     renew(&mut ledger, 110, &[], &[ended(1, 2, 0, EndKind::Done)]);
-    assert_eq!(ledger.acknowledged(), 1);
+    assert_eq!(ledger.last_acknowledged_end(), 1);
 }
 
 #[test]
@@ -270,7 +270,7 @@
     let mut ledger = ready();
     ledger.place(ENTRY, placement(1, 1, 1_000), 2);
     starts(&mut ledger, 2);
-    ledger.start_answered(task(1, 0), 1, StartAnswer::Started, 3);
+    ledger.handle_start_answer(task(1, 0), 1, StartAnswer::Started, 3);
     let end = ended(1, 1, 0, EndKind::Failed);
     renew(&mut ledger, 50, &[], &[end]);
     renew(&mut ledger, 60, &[], &[end]);
@@ -284,11 +284,11 @@
     ledger.place(ENTRY, placement(1, 2, 1_000), 2);
     starts(&mut ledger, 2);
     let refused = StartAnswer::Refused(StartRefusal::OldRun);
-    ledger.start_answered(task(1, 0), 1, refused, 3);
-    ledger.start_answered(task(1, 1), 1, StartAnswer::Started, 3);
+    ledger.handle_start_answer(task(1, 0), 1, refused, 3);
+    ledger.handle_start_answer(task(1, 1), 1, StartAnswer::Started, 3);
     let numbers: Vec<_> = ledger.reports(ENTRY).iter().map(|report| report.number).collect();
     assert_eq!(numbers, [1, 2]);
-    ledger.confirmed(ENTRY, 1);
+    ledger.confirm_reports(ENTRY, 1);
     assert_eq!(ledger.reports(ENTRY)[0].event, RunEvent::Started);
     assert!(!ledger.is_idle());
 }
@@ -296,7 +296,7 @@
 #[test]
 fn a_copy_of_a_task_from_another_entry_is_refused() {
     let mut ledger = ready();
-    ledger.owner_heard(OTHER_ENTRY, 2);
+    ledger.note_owner_contact(OTHER_ENTRY, 2);
     ledger.place(ENTRY, placement(1, 1, 1_000), 2);
     ledger.place(OTHER_ENTRY, placement(1, 1, 1_000), 3);
     let refused = RunEvent::NotStarted(NotStarted::Refused);
@@ -310,9 +310,9 @@
     for number in 1..=8 {
         ledger.place(ENTRY, placement(number, 1, 1_000), number * 300);
         renew(&mut ledger, number * 300, &[], &[]);
-        ledger.owner_heard(ENTRY, number * 300);
+        ledger.note_owner_contact(ENTRY, number * 300);
         assert_eq!(starts(&mut ledger, number * 300).len(), 1);
-        ledger.start_answered(task(number, 0), 1, StartAnswer::Started, number * 300);
+        ledger.handle_start_answer(task(number, 0), 1, StartAnswer::Started, number * 300);
         let kind = if number < 5 { EndKind::Failed } else { EndKind::Done };
         renew(&mut ledger, number * 300 + 299, &[], &[ended(number, number, 0, kind)]);
     }
@@ -329,11 +329,11 @@
     let mut ledger = ready();
     for number in 1..=10 {
         let now_ms = number * 600;
-        ledger.owner_heard(ENTRY, now_ms);
+        ledger.note_owner_contact(ENTRY, now_ms);
         ledger.place(ENTRY, placement(number, 1, 1_000), now_ms);
         renew(&mut ledger, now_ms, &[], &[]);
         starts(&mut ledger, now_ms);
-        ledger.start_answered(task(number, 0), 1, StartAnswer::Started, now_ms);
+        ledger.handle_start_answer(task(number, 0), 1, StartAnswer::Started, now_ms);
         renew(&mut ledger, now_ms + 599, &[], &[ended(number, number, 0, EndKind::Done)]);
     }
     assert!(ledger.load(6_600).slowness_percent > 350);
@@ -344,13 +344,13 @@
 #[test]
 fn only_a_task_that_waits_is_withdrawn() {
     let mut ledger = ready();
-    ledger.owner_heard(OTHER_ENTRY, 1);
+    ledger.note_owner_contact(OTHER_ENTRY, 1);
     ledger.place(ENTRY, placement(1, 2, 8_000), 2);
     starts(&mut ledger, 2);
-    ledger.withdraw(ENTRY, task(1, 0));
-    ledger.withdraw(OTHER_ENTRY, task(1, 1));
+    ledger.withdraw_task(ENTRY, task(1, 0));
+    ledger.withdraw_task(OTHER_ENTRY, task(1, 1));
     assert_eq!(events(&ledger, ENTRY), []);
-    ledger.withdraw(ENTRY, task(1, 1));
+    ledger.withdraw_task(ENTRY, task(1, 1));
     let back = RunEvent::NotStarted(NotStarted::Withdrawn);
     assert_eq!(events(&ledger, ENTRY), [(task(1, 1), back)]);
 }
@@ -360,17 +360,17 @@
     let mut ledger = ready();
     ledger.place(ENTRY, placement(1, 1, 1_000), 2);
     starts(&mut ledger, 2);
-    ledger.start_answered(task(1, 0), 1, StartAnswer::Started, 3);
+    ledger.handle_start_answer(task(1, 0), 1, StartAnswer::Started, 3);
     renew(&mut ledger, 100, &[], &[ended(1, 1, 0, EndKind::Done)]);
     let old = LeaseAnswer {
-        life: InstanceId::without_start("a"),
+        instance: InstanceId::without_start("a"),
         fence: 0,
         sent_ms: 50,
         clock_ms: CLOCK_MS + 60,
         running: vec![(task(1, 0), 1)],
         ended: Vec::new(),
     };
-    ledger.renewed(&old, 110);
+    ledger.handle_renewal_answer(&old, 110);
     assert!(ledger.load(110).usable, "a run that is over is not taken for a leftover");
     assert!(ledger.stops_due(110).is_empty());
 }
@@ -386,7 +386,7 @@
     assert!(ledger.stops_due(26).is_empty());
     renew(&mut ledger, 27, &[], &[]);
     assert_eq!(ledger.stops_due(27), [(task(1, 0), 1)]);
-    ledger.stop_confirmed(task(1, 0), 1, 29);
+    ledger.handle_stop_confirmation(task(1, 0), 1, 29);
     renew(&mut ledger, 30, &[], &[]);
     let back = RunEvent::NotStarted(NotStarted::Withdrawn);
     assert_eq!(events(&ledger, ENTRY), [(task(1, 0), back)]);
@@ -409,7 +409,7 @@
     ledger.place(ENTRY, placement(1, 9, 1_000), 2);
     let orders = starts(&mut ledger, 2);
     for order in &orders {
-        ledger.start_answered(order.task, 1, StartAnswer::Started, 3);
+        ledger.handle_start_answer(order.task, 1, StartAnswer::Started, 3);
     }
     let running: Vec<_> = orders.iter().map(|order| (order.task, 1)).collect();
     renew(&mut ledger, 400, &running, &[]);
@@ -421,11 +421,11 @@
     assert_eq!(ledger.load(4_000).capacity.cpu_milli, 1_000, "but it must show that it is sound");
     for number in 2..=14 {
         let now_ms = 4_000 + number * 100;
-        ledger.owner_heard(ENTRY, now_ms);
+        ledger.note_owner_contact(ENTRY, now_ms);
         ledger.place(ENTRY, placement(number, 1, 1_000), now_ms);
         renew(&mut ledger, now_ms, &[], &[]);
         starts(&mut ledger, now_ms);
-        ledger.start_answered(task(number, 0), 1, StartAnswer::Started, now_ms);
+        ledger.handle_start_answer(task(number, 0), 1, StartAnswer::Started, now_ms);
         let end = ended(number + 10, number, 0, EndKind::Done);
         renew(&mut ledger, now_ms + 99, &[], &[end]);
     }
@@ -440,15 +440,15 @@
     ledger.place(ENTRY, StepPlacement { priority: 2, ..placement(2, 1, 8_000) }, 2);
     ledger.place(ENTRY, placement(3, 1, 8_000), 2);
     ledger.place(ENTRY, StepPlacement { priority: 0, ..placement(4, 1, 8_000) }, 2);
-    ledger.finish_job(ENTRY, CallerJobId(1), 2_000, 2);
-    ledger.finish_job(ENTRY, CallerJobId(2), 2_000, 2);
+    ledger.prioritise_job(ENTRY, CallerJobId(1), 2_000, 2);
+    ledger.prioritise_job(ENTRY, CallerJobId(2), 2_000, 2);
     let mut order = Vec::new();
     for number in 1..=4 {
         let now_ms = 50 + number;
         renew(&mut ledger, now_ms, &[], &[]);
         let start = starts(&mut ledger, now_ms).remove(0);
-        ledger.start_answered(start.task, 1, StartAnswer::Started, now_ms);
-        let end = Ended { number, task: start.task, run: 1, kind: EndKind::Done };
+        ledger.handle_start_answer(start.task, 1, StartAnswer::Started, now_ms);
+        let end = RunEnd { number, task: start.task, run: 1, kind: EndKind::Done };
         renew(&mut ledger, now_ms, &[], &[end]);
         order.push(start.task.job.0);
     }
@@ -511,11 +511,11 @@
 #[test]
 fn an_order_of_an_entry_that_was_not_heard_lately_is_not_taken() {
     let mut ledger = ready();
-    let now_ms = 1 + LedgerLimits::default().owner_silence_ms;
+    let now_ms = 1 + LedgerLimits::default().owner_timeout_ms;
     renew(&mut ledger, now_ms, &[], &[]);
     ledger.place(ENTRY, placement(1, 1, 1_000), now_ms);
     assert_eq!(events(&ledger, ENTRY), [(task(1, 0), RunEvent::NotStarted(NotStarted::Stale))]);
-    ledger.owner_heard(ENTRY, now_ms);
+    ledger.note_owner_contact(ENTRY, now_ms);
     assert!(starts(&mut ledger, now_ms).is_empty(), "it may run elsewhere by now");
     ledger.place(ENTRY, placement(2, 1, 1_000), now_ms);
     assert_eq!(starts(&mut ledger, now_ms).len(), 1);
@@ -529,11 +529,11 @@
     let running = [(starts(&mut ledger, 2)[0].task, 1)];
     renew(&mut ledger, 10, &running, &[]);
     let woken_ms = 20 + SUSPENDED_MS;
-    ledger.note_suspended(SUSPENDED_MS, woken_ms);
-    ledger.check_lapse(woken_ms);
+    ledger.note_suspension(SUSPENDED_MS, woken_ms);
+    ledger.check_lease_lapse(woken_ms);
     assert_eq!(events(&ledger, ENTRY), [(task(1, 0), RunEvent::Started)]);
     assert!(!ledger.is_trusted(woken_ms), "nothing starts until it answers");
-    ledger.check_lapse(woken_ms + 1_900);
+    ledger.check_lease_lapse(woken_ms + 1_900);
     assert_eq!(events(&ledger, ENTRY).last(), Some(&(task(1, 0), RunEvent::Lost)));
 }
 
@@ -557,15 +557,15 @@
     let mut ledger = ready();
     ledger.place(ENTRY, placement(1, 2, 2_000), 2);
     for order in starts(&mut ledger, 2) {
-        ledger.start_answered(order.task, 1, StartAnswer::Started, 3);
+        ledger.handle_start_answer(order.task, 1, StartAnswer::Started, 3);
     }
     ledger.drop_owner(ENTRY);
-    let held = ledger.held(ENTRY);
+    let held = ledger.held_runs(ENTRY);
     assert_eq!(held.len(), 2);
     renew(&mut ledger, 60, &[(task(1, 1), 1)], &[ended(1, 1, 0, EndKind::Stopped)]);
-    ledger.owner_heard(ENTRY, 61);
-    ledger.report_gone(ENTRY, &held);
+    ledger.note_owner_contact(ENTRY, 61);
+    ledger.report_missing_runs(ENTRY, &held);
     assert_eq!(events(&ledger, ENTRY), [(task(1, 0), RunEvent::Lost)]);
-    ledger.report_gone(ENTRY, &held);
+    ledger.report_missing_runs(ENTRY, &held);
     assert_eq!(events(&ledger, ENTRY).len(), 1, "told once");
 }
--- a/crates/decide/tests/ledger_load.rs
+++ b/crates/decide/tests/ledger_load.rs
@@ -1,7 +1,7 @@
 //! Which changes of an upstream's load are told for themselves.
 
 use {
-    sycamorerail_decide::ledger::is_news,
+    sycamorerail_decide::ledger::is_significant_change,
     sycamorerail_wire::runs::{Resources, UpstreamLoad},
 };
 
@@ -17,17 +17,20 @@
 
 #[test]
 fn time_that_passes_is_no_news() {
-    assert!(!is_news(&load(), &UpstreamLoad { running_milli_ms: 396_000, ..load() }));
-    assert!(!is_news(&load(), &UpstreamLoad { slowness_percent: 110, ..load() }));
+    assert!(!is_significant_change(&load(), &UpstreamLoad { running_milli_ms: 396_000, ..load() }));
+    assert!(!is_significant_change(&load(), &UpstreamLoad { slowness_percent: 110, ..load() }));
 }
 
 #[test]
 fn room_queues_and_trouble_are_news() {
     let taken = Resources { cpu_milli: 5_000, ..Resources::default() };
-    assert!(is_news(&load(), &UpstreamLoad { taken, ..load() }));
-    assert!(is_news(&load(), &UpstreamLoad { waiting: 1, ..load() }));
-    assert!(is_news(&load(), &UpstreamLoad { waiting_milli_ms: [0, 1, 0, 0], ..load() }));
-    assert!(is_news(&load(), &UpstreamLoad { usable: false, ..load() }));
-    assert!(is_news(&load(), &UpstreamLoad { slowness_percent: 130, ..load() }));
-    assert!(is_news(&load(), &UpstreamLoad { failing_percent: 25, ..load() }));
+    assert!(is_significant_change(&load(), &UpstreamLoad { taken, ..load() }));
+    assert!(is_significant_change(&load(), &UpstreamLoad { waiting: 1, ..load() }));
+    assert!(is_significant_change(
+        &load(),
+        &UpstreamLoad { waiting_milli_ms: [0, 1, 0, 0], ..load() }
+    ));
+    assert!(is_significant_change(&load(), &UpstreamLoad { usable: false, ..load() }));
+    assert!(is_significant_change(&load(), &UpstreamLoad { slowness_percent: 130, ..load() }));
+    assert!(is_significant_change(&load(), &UpstreamLoad { failing_percent: 25, ..load() }));
 }
--- a/crates/decide/tests/ledger_machine.rs
+++ b/crates/decide/tests/ledger_machine.rs
@@ -10,7 +10,7 @@
     proptest::{collection::vec, prelude::*, sample::Index},
     std::collections::HashMap,
     sycamorerail_decide::ledger::{
-        EndKind, Ended, LeaseAnswer, Ledger, LedgerLimits, LifeEnd, StartAnswer, StartOrder,
+        EndKind, InstanceEnd, LeaseAnswer, Ledger, LedgerLimits, RunEnd, StartAnswer, StartOrder,
         StartRefusal,
     },
     sycamorerail_wire::{
@@ -153,7 +153,7 @@
     is_fenced: bool,
     running: HashMap<TaskKey, (u32, u32)>,
     highest: HashMap<TaskKey, u32>,
-    ended: Vec<Ended>,
+    ended: Vec<RunEnd>,
     last_end: u64,
     fence: u64,
     lease_until_clock_ms: u64,
@@ -189,7 +189,7 @@
 
     fn list(&mut self, task: TaskKey, run: u32, kind: EndKind) {
         self.last_end += 1;
-        self.ended.push(Ended { number: self.last_end, task, run, kind });
+        self.ended.push(RunEnd { number: self.last_end, task, run, kind });
         let highest = self.highest.entry(task).or_default();
         *highest = run.max(*highest);
     }
@@ -253,7 +253,7 @@
         }
         self.ended.retain(|ended| ended.number > acknowledged);
         Some(LeaseAnswer {
-            life: self.id(),
+            instance: self.id(),
             fence,
             sent_ms: now_ms,
             clock_ms: self.clock_ms(now_ms),
@@ -310,11 +310,11 @@
     fn carry_out(&mut self, lease: Option<u64>, now_ms: u64) -> Option<(LeaseAnswer, bool)> {
         let Self { ledger, upstream, .. } = self;
         let (fence, is_fenced) = (ledger.fence(), ledger.is_fenced());
-        let acknowledged = if is_fenced { ledger.acknowledged() } else { 0 };
+        let acknowledged = if is_fenced { ledger.last_acknowledged_end() } else { 0 };
         let answer = upstream.renew(lease.filter(|_| is_fenced), fence, acknowledged, now_ms);
         if answer.is_none() {
-            ledger.fence_refused(fence, upstream.clock_ms(now_ms));
-        } else if is_fenced && ledger.present() == Some(&upstream.id()) {
+            ledger.handle_fence_refusal(fence, upstream.clock_ms(now_ms));
+        } else if is_fenced && ledger.current_instance() == Some(&upstream.id()) {
             upstream.is_fenced = true;
         }
         answer.map(|answer| (answer, is_fenced))
@@ -322,15 +322,15 @@
 
     fn answered(&mut self, answer: &LeaseAnswer, is_fenced: bool, now_ms: u64) {
         if is_fenced {
-            self.ledger.renewed(answer, now_ms);
+            self.ledger.handle_renewal_answer(answer, now_ms);
         } else {
-            self.ledger.fence_off(answer, now_ms);
+            self.ledger.handle_fence_answer(answer, now_ms);
         }
     }
 
     /// Whether nothing on the wire keeps this order for an earlier life from the present one.
     fn is_left_open(&self, order: &StartOrder, now_ms: u64) -> bool {
-        let is_held = self.ledger.held(ENTRY).contains(&(order.task, order.run));
+        let is_held = self.ledger.held_runs(ENTRY).contains(&(order.task, order.run));
         !(self.upstream.is_fenced || is_held && self.ledger.is_trusted(now_ms))
     }
 }
@@ -423,7 +423,7 @@
             }
             Op::Announce { site, is_late } => self.announce(site, is_late),
             Op::Withdraw { site } => {
-                self.sites[site].ledger.withdrawn("a", self.now_ms);
+                self.sites[site].ledger.handle_withdrawal("a", self.now_ms);
             }
             Op::SlowRenewal { site } => self.slow_renewal(site),
             Op::LateAnswer(answer) => self.late_answer(answer),
@@ -433,10 +433,10 @@
         }
         for site in &mut self.sites {
             site.upstream.lapse(self.now_ms);
-            site.ledger.note_suspended(site.suspended_ms, self.now_ms);
-            site.ledger.check_lapse(self.now_ms);
-            site.ledger.expire(self.now_ms);
-            if let Some(life) = site.ledger.proven_life() {
+            site.ledger.note_suspension(site.suspended_ms, self.now_ms);
+            site.ledger.check_lease_lapse(self.now_ms);
+            site.ledger.drop_expired(self.now_ms);
+            if let Some(life) = site.ledger.proven_instance() {
                 site.recorded = life.clone();
             }
         }
@@ -466,14 +466,14 @@
             suspect: false,
         };
         let ledger = &mut self.sites[site].ledger;
-        ledger.owner_heard(ENTRY, self.now_ms);
+        ledger.note_owner_contact(ENTRY, self.now_ms);
         ledger.place(ENTRY, placement, self.now_ms);
     }
 
     fn order(&mut self, site: usize) {
         let Site { ledger, agent, .. } = &mut self.sites[site];
         let fence = ledger.fence();
-        ledger.owner_heard(ENTRY, self.now_ms);
+        ledger.note_owner_contact(ENTRY, self.now_ms);
         while let Some(order) = ledger.next_start(self.now_ms) {
             let start = Call::Start { site, agent: *agent, order, fence, answered: false };
             self.calls.push(start);
@@ -524,14 +524,14 @@
                 let answer = site.upstream.start(&order, need, fence, now_ms);
                 if site.agent == agent && !answered {
                     let answer = if lose_answer { StartAnswer::Unanswered } else { answer };
-                    site.ledger.start_answered(order.task, order.run, answer, now_ms);
+                    site.ledger.handle_start_answer(order.task, order.run, answer, now_ms);
                 }
             }
             Call::Stop { site, agent, task, run, fence } => {
                 let site = &mut self.sites[site];
                 let stopped = site.upstream.stop(task, run, fence, now_ms);
                 if site.agent == agent && stopped && !lose_answer {
-                    site.ledger.stop_confirmed(task, run, now_ms);
+                    site.ledger.handle_stop_confirmation(task, run, now_ms);
                 }
             }
         }
@@ -548,13 +548,13 @@
         let site = &mut self.sites[*site];
         if site.agent == *agent && !std::mem::replace(answered, true) {
             let (task, run) = (order.task, order.run);
-            site.ledger.start_answered(task, run, StartAnswer::Unanswered, self.now_ms);
+            site.ledger.handle_start_answer(task, run, StartAnswer::Unanswered, self.now_ms);
         }
     }
 
     fn renew(&mut self, site: usize, lose_answer: bool) {
         let Site { ledger, upstream, .. } = &mut self.sites[site];
-        if ledger.present().is_none() {
+        if ledger.current_instance().is_none() {
             return;
         }
         let lease = ledger.lease_until_clock_ms(self.now_ms).filter(|_| ledger.is_fenced());
@@ -573,8 +573,8 @@
         if started_unix_ms == upstream.started_unix_ms {
             return;
         }
-        if is_noticed && ledger.present().is_some() {
-            ledger.lose_upstream(LifeEnd::Crashed);
+        if is_noticed && ledger.current_instance().is_some() {
+            ledger.end_instance(InstanceEnd::Crashed);
         }
         upstream.restart(started_unix_ms, self.now_ms);
     }
@@ -582,13 +582,13 @@
     fn announce(&mut self, site: usize, is_late: bool) {
         let Site { ledger, upstream, .. } = &mut self.sites[site];
         let late = upstream.before_unix_ms.filter(|_| is_late);
-        ledger.announced(life(late.unwrap_or(upstream.started_unix_ms)), self.now_ms);
+        ledger.handle_announcement(life(late.unwrap_or(upstream.started_unix_ms)), self.now_ms);
     }
 
     fn slow_renewal(&mut self, site: usize) {
         let now_ms = self.now_ms;
         let asked = &mut self.sites[site];
-        if asked.ledger.present().is_none() {
+        if asked.ledger.current_instance().is_none() {
             return;
         }
         let lease = asked.ledger.lease_until_clock_ms(now_ms);
@@ -656,9 +656,9 @@
                 }
             }
             let last = reports.last().map_or(0, |report| report.number);
-            site.ledger.confirmed(ENTRY, last);
+            site.ledger.confirm_reports(ENTRY, last);
             if site.agent > 0 && site.ledger.load(self.now_ms).usable {
-                let held = site.ledger.held(ENTRY);
+                let held = site.ledger.held_runs(ENTRY);
                 for (task, belief) in &mut self.tasks {
                     if belief.site == Some(number) && !held.contains(&(*task, belief.run)) {
                         belief.site = None;
--- a/crates/entry/src/peers/fencing.rs
+++ b/crates/entry/src/peers/fencing.rs
@@ -11,8 +11,8 @@
     parking_lot::Mutex,
     std::{sync::Arc, time::Duration},
     sycamorerail_decide::fence::{
-        Conclusion, Known, Roster,
-        collect::{Collector, FenceTimes, Request},
+        Conclusion, JobFacts, Roster,
+        collector::{Collector, FenceTimes, Request},
     },
     sycamorerail_telemetry::{
         event,
@@ -117,7 +117,7 @@
         }
     }
 
-    fn drawn(&self, job: JobId, known: Known, now_ms: u64) -> Drawn {
+    fn drawn(&self, job: JobId, known: JobFacts, now_ms: u64) -> Drawn {
         let state = self.state.lock();
         let Some(state) = state.as_ref() else {
             let conclusion = Conclusion::Waiting { tasks_started: 0 };
@@ -125,7 +125,7 @@
         };
         Drawn {
             conclusion: state.collector.conclude(job, known, now_ms),
-            content: state.collector.content(job),
+            content: state.collector.content_hash(job),
             recorded: state.recorded,
         }
     }
@@ -141,7 +141,7 @@
         self: &Arc<Self>,
         shared: &Arc<Shared>,
         id: JobId,
-        known: Known,
+        known: JobFacts,
     ) -> Answer {
         let home = id.incarnation;
         let new = || Arc::new(Fence::new(home));
@@ -180,7 +180,7 @@
         shared: &Arc<Shared>,
         fence: &Arc<Fence>,
         id: JobId,
-        known: Known,
+        known: JobFacts,
     ) -> Drawn {
         let until = Instant::now() + CONCLUDE_WITHIN;
         let mut progress = fence.progress.subscribe();
@@ -191,7 +191,7 @@
             let open =
                 matches!(drawn.conclusion, Conclusion::Running { .. } | Conclusion::Waiting { .. });
             if !open || timeout_at(until, progress.changed()).await.is_err() {
-                fence.with(|collector| collector.leave(id));
+                fence.with(|collector| collector.stop_asking(id));
                 return drawn;
             }
         }
@@ -200,7 +200,7 @@
     fn ask(self: &Arc<Self>, shared: &Arc<Shared>, fence: &Arc<Fence>, id: JobId) {
         let mut state = fence.state.lock();
         let Some(state) = state.as_mut() else { return };
-        state.collector.ask(id, shared.now_ms());
+        state.collector.ask_about(id, shared.now_ms());
         if !state.asking {
             state.asking = true;
             tokio::spawn(Arc::clone(self).ask_on(Arc::clone(shared), Arc::clone(fence)));
@@ -211,7 +211,8 @@
     async fn ask_on(self: Arc<Self>, shared: Arc<Shared>, fence: Arc<Fence>) {
         loop {
             let now_ms = shared.now_ms();
-            let requests = fence.with(|collector| collector.due(now_ms)).unwrap_or_default();
+            let requests =
+                fence.with(|collector| collector.due_requests(now_ms)).unwrap_or_default();
             for request in requests {
                 let (inner, shared) = (Arc::clone(&self), Arc::clone(&shared));
                 let fence = Arc::clone(&fence);
@@ -235,11 +236,11 @@
         match held(shared, fence.home, &request).await {
             Some(held) => {
                 self.check_not_run(&held);
-                fence.with(|collector| collector.answered(&request, held));
+                fence.with(|collector| collector.handle_answer(&request, held));
             }
             None => {
                 let now_ms = shared.now_ms();
-                fence.with(|collector| collector.unanswered(&request, now_ms));
+                fence.with(|collector| collector.handle_no_answer(&request, now_ms));
             }
         }
         fence.progress.send_modify(|count| *count += 1);
@@ -255,7 +256,7 @@
         }
     }
 
-    fn answer(&self, shared: &Shared, id: JobId, known: Known, drawn: Drawn) -> Answer {
+    fn answer(&self, shared: &Shared, id: JobId, known: JobFacts, drawn: Drawn) -> Answer {
         let Drawn { conclusion, content, recorded } = drawn;
         if !recorded && !conclusion.is_final() {
             return answers::platform_out(&id);
--- a/crates/entry/src/peers/forward.rs
+++ b/crates/entry/src/peers/forward.rs
@@ -5,8 +5,8 @@
     crate::{counters, shared::Shared},
     std::sync::Arc,
     sycamorerail_decide::fence::{
-        Known,
-        lost::{Sighting, Standing},
+        JobFacts,
+        home_watch::{HomeState, ReachResult},
     },
     sycamorerail_telemetry::event,
     sycamorerail_wire::{
@@ -67,7 +67,7 @@
     async fn ask_home(self: &Arc<Self>, shared: &Arc<Shared>, id: &JobId, call: &ToEntry) -> Asked {
         // A home that is lost but not fenced, as the platform is out, may come
         // back.
-        let is_lost = self.homes.standing(id.incarnation) == Standing::Lost
+        let is_lost = self.homes.standing(id.incarnation) == HomeState::Lost
             && self.fences.is_recorded(id.incarnation);
         if is_lost || id.home == shared.inner_address || self.has_left(id) {
             return Asked::Lost;
@@ -75,15 +75,15 @@
         let sighting = match self.call_home(shared, id, call).await {
             Ok(reply) => match reply.body {
                 EntryReplyBody::Answer(answer) => {
-                    self.sighted(shared, id, Sighting::Answered);
+                    self.sighted(shared, id, ReachResult::Answered);
                     return Asked::Answered(answer);
                 }
-                EntryReplyBody::OtherIncarnation => Sighting::OtherIncarnation,
-                _ => Sighting::Unreachable,
+                EntryReplyBody::OtherIncarnation => ReachResult::OtherIncarnation,
+                _ => ReachResult::Unreachable,
             },
             Err(err) => {
                 event!(Info, "home_not_reached", home = id.incarnation, cause = err);
-                Sighting::Unreachable
+                ReachResult::Unreachable
             }
         };
         // What the platform shows as fenced places nothing any more, whether
@@ -92,9 +92,9 @@
             return Asked::Lost;
         }
         match self.sighted(shared, id, sighting) {
-            Standing::Lost => Asked::Lost,
-            Standing::InDoubt { retry_after_ms } => Asked::InDoubt { retry_after_ms },
-            Standing::Reachable => Asked::InDoubt { retry_after_ms: 1 },
+            HomeState::Lost => Asked::Lost,
+            HomeState::InDoubt { retry_after_ms } => Asked::InDoubt { retry_after_ms },
+            HomeState::Reachable => Asked::InDoubt { retry_after_ms: 1 },
         }
     }
 }
@@ -112,13 +112,13 @@
     }
 }
 
-fn known(call: &ToEntry) -> Known {
+fn known(call: &ToEntry) -> JobFacts {
     match call {
-        ToEntry::Submit(submission) => Known {
+        ToEntry::Submit(submission) => JobFacts {
             content: Some(submission.content),
             single_attempt: submission.unit == Unit::Job,
         },
-        _ => Known::default(),
+        _ => JobFacts::default(),
     }
 }
 
--- a/crates/entry/src/peers/home.rs
+++ b/crates/entry/src/peers/home.rs
@@ -12,7 +12,7 @@
         time::Duration,
     },
     sycamorerail_clock::Clock,
-    sycamorerail_decide::fence::lost::{HomeWatch, Sighting, Standing},
+    sycamorerail_decide::fence::home_watch::{HomeState, HomeWatch, ReachResult},
     sycamorerail_telemetry::event,
     sycamorerail_wire::{
         ids::{Incarnation, JobId},
@@ -35,8 +35,8 @@
 
 impl Homes {
     /// Where a home stands, as far as known.
-    pub(super) fn standing(&self, home: Incarnation) -> Standing {
-        self.watches.get(&home).map_or(Standing::Reachable, |watch| watch.lock().standing())
+    pub(super) fn standing(&self, home: Incarnation) -> HomeState {
+        self.watches.get(&home).map_or(HomeState::Reachable, |watch| watch.lock().state())
     }
 }
 
@@ -47,13 +47,13 @@
         self: &Arc<Self>,
         shared: &Arc<Shared>,
         id: &JobId,
-        sighting: Sighting,
-    ) -> Standing {
+        sighting: ReachResult,
+    ) -> HomeState {
         let home = id.incarnation;
         let now_ms = shared.now_ms();
-        if sighting == Sighting::Answered {
+        if sighting == ReachResult::Answered {
             self.homes.watches.remove(&home);
-            return Standing::Reachable;
+            return HomeState::Reachable;
         }
         let lost_after_ms = u64::from(shared.settings.limits.lost_after_ms);
         let mut is_new = false;
@@ -62,10 +62,10 @@
             Arc::new(Mutex::new(HomeWatch::new(lost_after_ms)))
         }));
         let mut watching = watch.lock();
-        watching.sighted(sighting, now_ms);
-        let standing = watching.standing();
+        watching.note_own_attempt(sighting, now_ms);
+        let standing = watching.state();
         drop(watching);
-        if is_new && standing != Standing::Lost {
+        if is_new && standing != HomeState::Lost {
             event!(Warn, "home_in_doubt", home = home, address = id.home);
             tokio::spawn(Arc::clone(self).watch_home(Arc::clone(shared), *id, watch));
         }
@@ -87,46 +87,46 @@
                 tokio::join!(self.try_home(&shared, &id), self.ask_witness(&shared, &id));
             let standing = {
                 let (mut watch, now_ms) = (watch.lock(), shared.now_ms());
-                watch.sighted(own, now_ms);
-                watch.witnessed(witness, now_ms);
-                watch.standing()
+                watch.note_own_attempt(own, now_ms);
+                watch.note_witness_attempt(witness, now_ms);
+                watch.state()
             };
             match standing {
-                Standing::InDoubt { .. } => {}
-                Standing::Reachable => {
+                HomeState::InDoubt { .. } => {}
+                HomeState::Reachable => {
                     self.homes.watches.remove(&id.incarnation);
                     return event!(Info, "home_reached_again", home = id.incarnation);
                 }
-                Standing::Lost => {
+                HomeState::Lost => {
                     return event!(Warn, "home_lost", home = id.incarnation, address = id.home);
                 }
             }
         }
     }
 
-    async fn try_home(&self, shared: &Shared, id: &JobId) -> Sighting {
+    async fn try_home(&self, shared: &Shared, id: &JobId) -> ReachResult {
         let call = ToEntry::Reach { address: id.home, incarnation: id.incarnation };
         match self.sessions.call(shared, id.home, &call, sessions::reach_within(shared)).await {
             Ok(reply) => sighting(&reply.body, id.incarnation),
-            Err(_) => Sighting::Unreachable,
+            Err(_) => ReachResult::Unreachable,
         }
     }
 
     /// Asks a peer, at random. Where there is none, and where the platform
     /// shows that the home's lease has ended, that counts as a witness.
-    async fn ask_witness(&self, shared: &Shared, id: &JobId) -> Sighting {
+    async fn ask_witness(&self, shared: &Shared, id: &JobId) -> ReachResult {
         let others = self.others(shared);
         let peers: Vec<SocketAddr> =
             others.into_iter().filter(|address| *address != id.home).collect();
         let chosen = peers.choose(&mut rand::rng()).copied();
-        let Some(peer) = chosen else { return Sighting::Unreachable };
+        let Some(peer) = chosen else { return ReachResult::Unreachable };
         let call = ToEntry::Reach { address: id.home, incarnation: id.incarnation };
         let within = sessions::reach_within(shared) * 2;
         match self.sessions.call(shared, peer, &call, within).await {
             Ok(reply) => sighting(&reply.body, id.incarnation),
             // A peer that is away tells nothing; the lease may.
-            Err(_) if self.has_lease(id.incarnation) => Sighting::Answered,
-            Err(_) => Sighting::Unreachable,
+            Err(_) if self.has_lease(id.incarnation) => ReachResult::Answered,
+            Err(_) => ReachResult::Unreachable,
         }
     }
 
@@ -137,11 +137,11 @@
     }
 }
 
-fn sighting(body: &EntryReplyBody, home: Incarnation) -> Sighting {
+fn sighting(body: &EntryReplyBody, home: Incarnation) -> ReachResult {
     match body {
-        EntryReplyBody::Reached(Some(run)) if *run == home => Sighting::Answered,
-        EntryReplyBody::Reached(Some(_)) => Sighting::OtherIncarnation,
-        _ => Sighting::Unreachable,
+        EntryReplyBody::Reached(Some(run)) if *run == home => ReachResult::Answered,
+        EntryReplyBody::Reached(Some(_)) => ReachResult::OtherIncarnation,
+        _ => ReachResult::Unreachable,
     }
 }
 
