--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -1,10 +1,9 @@
-//! The process's clock: time for decisions, which goes on while the VM is suspended, and
-//! Unix time for ids.
+//! Clock of the process: a monotonic time that includes VM suspensions, and Unix time for ids.
 //!
-//! `std::time::Instant` and the runtime's timers stand still while a VM is suspended.
-//! Leases, silence and deadlines that went by them would be believed to hold seconds
-//! after others have given them up. Whoever decides takes the time from here; timers only
-//! say when to look again.
+//! `std::time::Instant` and the runtime's timers stop while the VM is suspended. If leases,
+//! silence and deadlines were measured with them, this process would rely on them for seconds
+//! after other processes had given them up. Code that makes decisions reads the time from
+//! here; timers only trigger the next check.
 
 use {
     nix::time::{ClockId, clock_gettime},
@@ -17,40 +16,44 @@
 /// Time since the start of the process.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
-    start_ms: u64,
-    start_steady_ms: u64,
-    /// Time that passed in a suspension that a test has made up, in milliseconds.
-    made_up: Option<&'static AtomicU64>,
+    start_boottime_ms: u64,
+    start_monotonic_ms: u64,
+    /// Duration of suspensions that a test simulates, in milliseconds.
+    test_suspension_ms: Option<&'static AtomicU64>,
 }
 
 impl Clock {
-    /// A clock that starts now.
+    /// Returns a clock that starts now.
     #[must_use]
     pub fn start() -> Self {
-        let (start_ms, start_steady_ms) =
+        let (start_boottime_ms, start_monotonic_ms) =
             (read_ms(ClockId::CLOCK_BOOTTIME), read_ms(ClockId::CLOCK_MONOTONIC));
-        Self { start_ms, start_steady_ms, made_up: None }
+        Self { start_boottime_ms, start_monotonic_ms, test_suspension_ms: None }
     }
 
-    /// A clock that leaps by what is added, for tests: timers do not.
+    /// Returns a clock for tests that simulate suspensions: it adds `suspension_ms` to its time.
+    /// Timers do not see that time, as in a real suspension.
     #[must_use]
-    pub fn start_with_test_suspension(leaps_ms: &'static AtomicU64) -> Self {
-        Self { made_up: Some(leaps_ms), ..Self::start() }
+    pub fn start_with_test_suspension(suspension_ms: &'static AtomicU64) -> Self {
+        Self { test_suspension_ms: Some(suspension_ms), ..Self::start() }
     }
 
-    /// Time in milliseconds; it never goes back. Never 0, which stands for "never".
+    /// Time since the start in milliseconds, including suspensions. Never decreases, and is
+    /// never 0, which callers use for "never".
     #[must_use]
     pub fn now_ms(self) -> u64 {
-        1 + self.real_ms() + self.made_up_ms()
+        1 + self.elapsed_boottime_ms() + self.simulated_suspension_ms()
     }
 
-    /// For how much of that time the VM was suspended, in milliseconds.
+    /// How long the VM has been suspended since the start, in milliseconds.
     #[must_use]
     pub fn suspended_ms(self) -> u64 {
-        // In this order, so that time between the two is not taken for a suspension.
-        let real_ms = self.real_ms();
-        let steady_ms = read_ms(ClockId::CLOCK_MONOTONIC).saturating_sub(self.start_steady_ms);
-        real_ms.saturating_sub(steady_ms) + self.made_up_ms()
+        // CLOCK_BOOTTIME is read first, so that time between the two reads does not count as a
+        // suspension.
+        let boottime_ms = self.elapsed_boottime_ms();
+        let monotonic_ms =
+            read_ms(ClockId::CLOCK_MONOTONIC).saturating_sub(self.start_monotonic_ms);
+        boottime_ms.saturating_sub(monotonic_ms) + self.simulated_suspension_ms()
     }
 
     /// Unix time in milliseconds.
@@ -60,12 +63,12 @@
         u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
     }
 
-    fn real_ms(self) -> u64 {
-        read_ms(ClockId::CLOCK_BOOTTIME).saturating_sub(self.start_ms)
+    fn elapsed_boottime_ms(self) -> u64 {
+        read_ms(ClockId::CLOCK_BOOTTIME).saturating_sub(self.start_boottime_ms)
     }
 
-    fn made_up_ms(self) -> u64 {
-        self.made_up.map_or(0, |leaps_ms| leaps_ms.load(Ordering::Acquire))
+    fn simulated_suspension_ms(self) -> u64 {
+        self.test_suspension_ms.map_or(0, |suspension_ms| suspension_ms.load(Ordering::Acquire))
     }
 }
 
--- a/crates/telemetry/src/invariant.rs
+++ b/crates/telemetry/src/invariant.rs
@@ -1,38 +1,38 @@
-//! Invariants asserted inside the programs, in release builds too.
+//! Invariants that are checked at run time, also in release builds.
 //!
-//! A breach is counted, logged as an error, and ends the process where the
-//! setting `fatal_invariants` is on, as in tests.
+//! A violation is counted and logged as an error. It ends the process if the setting
+//! `fatal_invariants` is on, as it is in tests.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 
 static FATAL: AtomicBool = AtomicBool::new(false);
 
-/// Exit code of a process that ended on a broken invariant.
+/// Exit code of a process that was ended by an invariant violation.
 pub const EXIT_CODE: i32 = 86;
 
-/// What must always hold, by its number in docs/PROOFS.md.
+/// Invariants, numbered as in docs/PROOFS.md.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Invariant {
     /// I1: a task starts at most once.
     StartsOnce,
-    /// I2: an answer is complete or failed, never partial.
+    /// I2: an answer never holds partial results.
     WholeAnswer,
-    /// I3: an answer goes to the submission with its id, organisation and content.
+    /// I3: an answer goes only to the submission with the same id, organisation and content.
     OwnAnswer,
-    /// I4: `not_run` implies no start, ever after.
+    /// I4: once the outcome is `not_run`, no task has started and none ever will.
     TrueNotRun,
-    /// I5: a request that is not repeatable starts at most once.
+    /// I5: a request whose kind is not repeatable starts at most once.
     NotRepeated,
-    /// I6: no placement to an upstream that is leaving.
+    /// I6: no task is placed on an upstream that is leaving.
     NoWorkWhenLeaving,
-    /// I7: a draining process cuts no request.
+    /// I7: a draining process interrupts no request.
     NoCutInDrain,
-    /// I8: the revision in force never goes back.
+    /// I8: the revision in force never decreases.
     RevisionGrows,
 }
 
 impl Invariant {
-    /// The label of counters and logs.
+    /// Label in metrics and logs.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -48,12 +48,13 @@
     }
 }
 
-/// Makes breaches end the process.
+/// Sets whether a violation ends the process.
 pub fn set_fatal(fatal: bool) {
     FATAL.store(fatal, Ordering::Release);
 }
 
-/// Checks an invariant; returns whether it holds.
+/// Counts a check of an invariant and reports a violation unless `holds`. Returns `holds`.
+/// The log line names `subject`.
 pub fn check(invariant: Invariant, holds: bool, subject: &dyn std::fmt::Display) -> bool {
     metrics::counter!("sycamorerail_invariant_checks_total", "invariant" => invariant.name())
         .increment(1);
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -1,4 +1,4 @@
-//! Logs, metrics and invariants, the same in every binary.
+//! Logs, metrics and invariant checks, shared by all binaries.
 
 pub mod invariant;
 mod log_queue;
--- a/crates/telemetry/src/log_queue.rs
+++ b/crates/telemetry/src/log_queue.rs
@@ -1,4 +1,4 @@
-//! A bounded queue of log lines in front of a thread that writes them.
+//! Bounded queue of log lines and the thread that writes them.
 
 use {
     parking_lot::{Condvar, Mutex},
@@ -10,14 +10,14 @@
     },
 };
 
-/// Bytes held at most: some 5,000 lines, two seconds of a busy process.
-const MAX_BYTES: usize = 1 << 20;
-/// Longest wait of a process that ends for its last lines.
-const FLUSH_WITHIN: Duration = Duration::from_millis(200);
+/// About 5,000 lines, which a busy process logs in two seconds.
+const MAX_QUEUED_BYTES: usize = 1 << 20;
+/// How long an ending process waits at most until its last lines are written.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
 #[derive(Debug, Default)]
 struct State {
-    waiting: Vec<u8>,
+    queued: Vec<u8>,
     dropped_lines: u64,
     is_writing: bool,
 }
@@ -25,12 +25,12 @@
 #[derive(Debug, Default)]
 struct Shared {
     state: Mutex<State>,
-    filled: Condvar,
-    written: Condvar,
+    line_queued: Condvar,
+    batch_written: Condvar,
 }
 
-/// Takes lines; clones share the queue. A line that finds no room is dropped
-/// and counted, and the count is written with the next line that is.
+/// Writer that queues log lines. Clones share the queue. When the queue is full, a line is
+/// dropped and counted, and the count is logged before the next line that fits.
 #[derive(Clone, Debug, Default)]
 pub struct LogQueue {
     shared: Arc<Shared>,
@@ -38,50 +38,52 @@
 }
 
 impl LogQueue {
-    /// A queue with a thread that writes it to standard output.
+    /// Creates a queue and starts the thread that writes it to standard output.
     #[must_use]
     pub fn start() -> Self {
         let queue = Self::default();
         let shared = Arc::clone(&queue.shared);
-        // Without the thread the lines are dropped, which is all that can be done.
-        let _ = thread::Builder::new().name("log".to_owned()).spawn(move || write_on(&shared));
+        // If the thread cannot be started, no line is written, and there is nowhere else to log.
+        let _ = thread::Builder::new()
+            .name("log".to_owned())
+            .spawn(move || write_queued_lines(&shared));
         queue
     }
 
-    /// Waits until all lines are written, for a bounded time.
+    /// Waits for queued lines to be written, at most `FLUSH_TIMEOUT`.
     pub fn wait_until_written(&self) {
         let mut state = self.shared.state.lock();
-        if !state.waiting.is_empty() || state.is_writing {
-            self.shared.written.wait_for(&mut state, FLUSH_WITHIN);
+        if !state.queued.is_empty() || state.is_writing {
+            self.shared.batch_written.wait_for(&mut state, FLUSH_TIMEOUT);
         }
     }
 
-    fn push(&mut self) {
+    fn push_line(&mut self) {
         let mut state = self.shared.state.lock();
-        if state.waiting.len() + self.line.len() > MAX_BYTES {
+        if state.queued.len() + self.line.len() > MAX_QUEUED_BYTES {
             state.dropped_lines += 1;
             metrics::counter!("sycamorerail_log_lines_dropped_total").increment(1);
         } else {
             if state.dropped_lines > 0 {
                 let dropped = std::mem::take(&mut state.dropped_lines);
                 let note = format!("level=Warn event=log_lines_dropped count={dropped}\n");
-                state.waiting.extend_from_slice(note.as_bytes());
+                state.queued.extend_from_slice(note.as_bytes());
             }
-            state.waiting.extend_from_slice(&self.line);
+            state.queued.extend_from_slice(&self.line);
             if !state.is_writing {
-                self.shared.filled.notify_one();
+                self.shared.line_queued.notify_one();
             }
         }
         self.line.clear();
     }
 }
 
-/// The logger writes a line in parts; it is queued when it is whole.
+/// The logger writes a line in several parts; the line is queued once it is complete.
 impl Write for LogQueue {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         self.line.extend_from_slice(bytes);
         if self.line.ends_with(b"\n") {
-            self.push();
+            self.push_line();
         }
         Ok(bytes.len())
     }
@@ -91,20 +93,20 @@
     }
 }
 
-fn write_on(shared: &Shared) {
+fn write_queued_lines(shared: &Shared) {
     let mut out = io::stdout();
     loop {
         let bytes = {
             let mut state = shared.state.lock();
             state.is_writing = false;
-            shared.written.notify_all();
-            while state.waiting.is_empty() {
-                shared.filled.wait(&mut state);
+            shared.batch_written.notify_all();
+            while state.queued.is_empty() {
+                shared.line_queued.wait(&mut state);
             }
             state.is_writing = true;
-            std::mem::take(&mut state.waiting)
+            std::mem::take(&mut state.queued)
         };
-        // Nobody is left to tell that standard output is gone.
+        // An error means that standard output is closed; there is no place left to report it.
         let _ = out.write_all(&bytes).and_then(|()| out.flush());
     }
 }
--- a/crates/telemetry/src/logs.rs
+++ b/crates/telemetry/src/logs.rs
@@ -1,5 +1,5 @@
-//! Logs: one line of key=value pairs an event, on standard error, or on standard
-//! output through a queue that never makes its writers wait.
+//! Logs: each event is one line of key=value pairs. Lines go to standard error, or to
+//! standard output through a queue that never blocks the code that logs.
 
 use {
     crate::log_queue::LogQueue,
@@ -8,26 +8,26 @@
     std::{fmt, io, sync::OnceLock},
 };
 
-/// Longest value written, in characters; the rest is cut.
+/// Longer values are cut to this length.
 const MAX_VALUE_CHARS: usize = 200;
 
 static QUEUE: OnceLock<LogQueue> = OnceLock::new();
 
-/// Sets up logging for the process. A second call changes nothing.
+/// Sets up logging to standard error. Only the first call in a process has an effect.
 pub fn init(level: LevelFilter) {
-    // Fails only if a logger is set already.
+    // Fails only if a logger is already set.
     let _ = WriteLogger::init(level, config(), io::stderr());
 }
 
-/// Sets up logging to standard output by a thread of its own. Lines for which
-/// the queue has no room are dropped and counted.
+/// Sets up logging to standard output through a queue and a thread. When the queue is full,
+/// lines are dropped and counted.
 pub fn init_queued(level: LevelFilter) {
     let queue = QUEUE.get_or_init(LogQueue::start);
-    // Fails only if a logger is set already.
+    // Fails only if a logger is already set.
     let _ = WriteLogger::init(level, config(), queue.clone());
 }
 
-/// Waits until the queue of [`init_queued`] is written.
+/// Waits for a limited time until the queue of [`init_queued`] is written.
 pub fn flush() {
     if let Some(queue) = QUEUE.get() {
         queue.wait_until_written();
@@ -45,21 +45,21 @@
         .build()
 }
 
-/// Reads a level's name in settings.
+/// Parses the name of a log level, as used in settings.
 #[must_use]
 pub fn parse_level(name: &str) -> Option<LevelFilter> {
     name.parse().ok()
 }
 
-/// A value of an event, escaped so that it stays one word or one quoted text.
+/// A value in a log line, quoted and escaped unless it is a single plain word.
 pub struct EscapedValue<T>(pub T);
 
 impl<T: fmt::Display> fmt::Display for EscapedValue<T> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let text = self.0.to_string();
         let short: String = text.chars().take(MAX_VALUE_CHARS).collect();
-        let plain = |c: char| c.is_ascii_graphic() && !matches!(c, '"' | '=' | '\\');
-        if !short.is_empty() && short.chars().all(plain) {
+        let is_plain = |c: char| c.is_ascii_graphic() && !matches!(c, '"' | '=' | '\\');
+        if !short.is_empty() && short.chars().all(is_plain) {
             f.write_str(&short)
         } else {
             write!(f, "{short:?}")
@@ -67,7 +67,7 @@
     }
 }
 
-/// Milliseconds of Unix time, for log lines.
+/// Unix time in milliseconds, for log lines.
 #[must_use]
 pub fn unix_ms() -> u128 {
     std::time::SystemTime::now()
@@ -102,7 +102,7 @@
     level <= log::max_level()
 }
 
-/// Writes one line. Called by [`event!`].
+/// Writes one log line. Called by [`event!`].
 pub fn write(level: Level, target: &str, line: fmt::Arguments<'_>) {
     log::log!(target: target, level, "{line}");
 }
--- a/crates/wire/src/answer.rs
+++ b/crates/wire/src/answer.rs
@@ -1,4 +1,4 @@
-//! What a caller is told about a job or request.
+//! Answers that callers receive about jobs and requests.
 
 use {
     crate::ids::TaskId,
@@ -6,29 +6,29 @@
     std::fmt,
 };
 
-/// JSON text carried unread between caller and upstream.
+/// JSON text passed unread between caller and upstream.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Payload(pub String);
 
-/// How a job or request ended, or where it stands.
+/// How a job or request ended, or its state until then.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// Every task finished; all results are in the answer. Final.
+    /// Every task finished, and the answer holds all results. Final.
     Complete,
-    /// At least one task definitely failed or can never run. Final.
+    /// At least one task has definitely failed or can never run. Final.
     Failed,
-    /// No task was started, and none ever will be. Final.
+    /// No task has been started, and none ever will be. Final.
     NotRun,
-    /// Some task may have run and its result cannot be had. A later fetch may
-    /// learn more, and never contradicts it.
+    /// At least one task may have run, and its result cannot be obtained. A later fetch may
+    /// return more, but never contradicts this outcome.
     Unknown,
-    /// Not decided yet: come back after `retry_after_ms`.
+    /// Not decided yet: the caller should ask again after `retry_after_ms`.
     InDoubt,
 }
 
 impl Outcome {
-    /// The name callers and counters see.
+    /// Name in answers and metrics.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -41,12 +41,12 @@
     }
 }
 
-/// Declares [`Reason`] with the name that counters and callers see.
+/// Declares [`Reason`] with the names used in answers and metrics.
 macro_rules! reasons {
     ($($(#[doc = $doc:literal])+ $variant:ident = $name:literal,)+) => {
         /// Why something was refused, retried, failed or left in doubt.
         ///
-        /// Each has a counter label and a line in docs/OPERATIONS.md.
+        /// Each reason is a metric label and is described in docs/OPERATIONS.md.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
         #[serde(rename_all = "snake_case")]
         pub enum Reason {
@@ -54,10 +54,10 @@
         }
 
         impl Reason {
-            /// All reasons, in the order of their declaration.
+            /// All reasons in the order of declaration.
             pub const ALL: &[Self] = &[$(Self::$variant,)+];
 
-            /// The name callers and counters see.
+            /// Name in answers and metrics.
             #[must_use]
             pub fn name(self) -> &'static str {
                 match self { $(Self::$variant => $name,)+ }
@@ -67,33 +67,33 @@
 }
 
 reasons! {
-    /// All is well.
+    /// No problem arose.
     Done = "done",
     /// The job is still running.
     Running = "running",
-    /// The upstream answered that the task failed.
+    /// The upstream reported that the task failed.
     TaskFailed = "task_failed",
     /// The caller cancelled the job.
     Cancelled = "cancelled",
     /// The deadline passed.
     DeadlinePassed = "deadline_passed",
-    /// The deadline cannot be met by what is free now.
+    /// The deadline cannot be met with the upstreams that are free now.
     DeadlineUnreachable = "deadline_unreachable",
     /// The organisation's quota is used up.
     QuotaUsedUp = "quota_used_up",
     /// All upstreams are busy and the queue is full.
     Overloaded = "overloaded",
-    /// The memory for job records is full.
+    /// The memory for job records is used up.
     MemoryFull = "memory_full",
-    /// No upstream serves the kind or could ever hold the task.
+    /// No upstream serves the kind, or none is large enough for the task.
     NeverPlaceable = "never_placeable",
     /// No upstream is available now.
     NoUpstream = "no_upstream",
     /// The agent's queue is full.
     AgentFull = "agent_full",
-    /// The placement names an earlier run of the agent.
+    /// The placement names an earlier incarnation of the agent.
     WrongIncarnation = "wrong_incarnation",
-    /// The placement came too late to start.
+    /// The placement arrived after its start window.
     StartWindowPassed = "start_window_passed",
     /// The upstream is leaving.
     Leaving = "leaving",
@@ -105,47 +105,47 @@
     UpstreamTimeout = "upstream_timeout",
     /// The task was revoked before it started.
     Revoked = "revoked",
-    /// The home entry was declared lost, its placements are refused.
+    /// The home entry was declared lost, so its placements are refused.
     Fenced = "fenced",
     /// The agent could not be reached.
     AgentUnreachable = "agent_unreachable",
-    /// The agent went away with tasks that may have started.
+    /// The agent was lost with tasks that may have started.
     AgentLost = "agent_lost",
     /// The home entry of the job was lost.
     HomeLost = "home_lost",
-    /// The home entry of the job cannot be reached, and is not shown lost yet.
+    /// The home entry of the job cannot be reached, but is not confirmed lost yet.
     HomeUnreachable = "home_unreachable",
-    /// The result was dropped to stay within the memory bound.
+    /// The result was dropped to stay within the memory limit.
     ResultDropped = "result_dropped",
-    /// The id or key is older than the retention; it may have run.
+    /// The id or key is older than the retention time; the job may have run.
     Expired = "expired",
-    /// The same id or key was used with another body.
+    /// The same id or key was used with a different body.
     Conflict = "conflict",
-    /// No such job was submitted to its home.
+    /// The job was not submitted to its home entry.
     NotSubmitted = "not_submitted",
-    /// The process is stopping and takes nothing new.
+    /// The process is stopping and accepts no new work.
     Draining = "draining",
     /// The process has no configuration yet.
     NotReady = "not_ready",
-    /// The platform's service is out or slow.
+    /// The platform's service is unavailable or slow.
     PlatformOut = "platform_out",
-    /// The platform call budget is used up.
+    /// The budget of calls to the platform is used up.
     PlatformBudget = "platform_budget",
     /// The token is missing or unknown.
     Unauthorised = "unauthorised",
-    /// The token does not allow this.
+    /// The token does not allow the request.
     Forbidden = "forbidden",
     /// The request is malformed.
     Invalid = "invalid",
-    /// The body is larger than allowed.
+    /// The request body is larger than allowed.
     TooLarge = "too_large",
-    /// No such organisation, kind or job.
+    /// The organisation, kind or job does not exist.
     NotFound = "not_found",
-    /// A slow attempt was joined by a second one.
+    /// A second attempt was started because the first one was slow.
     Hedged = "hedged",
     /// The retry budget is used up.
     RetryBudget = "retry_budget",
-    /// The upstream's data centre is evacuated, or all that could serve are.
+    /// The data centre of the upstream is evacuated, or those of all suitable upstreams are.
     Evacuated = "evacuated",
 }
 
@@ -155,69 +155,69 @@
     }
 }
 
-/// The step of a request's path at which something arose.
+/// The step of processing a request at which a reason arose.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Step {
-    /// Reading and checking the call.
+    /// Reading and validating the call.
     Accept,
-    /// Quotas, deadline and load checks.
+    /// Checking quotas, deadline and load.
     Admit,
     /// Sending the job to its home entry.
     Forward,
-    /// Binding a caller's own key.
+    /// Binding a key that the caller chose to a job id.
     Bind,
     /// Choosing an upstream and sending the task to its agent.
     Place,
-    /// The agent's start gate and queue.
+    /// Checking and queueing the task at the agent.
     Start,
-    /// The call to the upstream.
+    /// Calling the upstream.
     Run,
     /// Revoking tasks.
     Revoke,
-    /// Fencing a lost home and collecting what it started.
+    /// Fencing a lost home entry and collecting the tasks that it started.
     Fence,
     /// Assembling the answer.
     Answer,
 }
 
-/// One task's result within a complete answer, or its failure.
+/// Result or failure of one task.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TaskEnd {
-    /// The upstream's result.
+    /// The task finished with this result of the upstream.
     Finished(Payload),
-    /// The task definitely failed, after it was started.
+    /// The task was started and has definitely failed.
     Failed {
-        /// Why.
+        /// Why it failed.
         reason: Reason,
-        /// What the upstream said, shortened.
+        /// The upstream's message, shortened.
         detail: String,
     },
 }
 
-/// What a caller is told.
+/// Answer to a caller.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Answer {
-    /// How it ended.
+    /// How the job or request ended, or its state.
     pub outcome: Outcome,
-    /// Why.
+    /// Why it ended so.
     pub reason: Reason,
-    /// Where that arose.
+    /// Step at which the reason arose.
     pub step: Step,
-    /// Process or upstream at which it arose.
+    /// Process or upstream at which the reason arose.
     pub peer: Option<String>,
-    /// More for a person: what was wrong, which task, what is allowed.
+    /// Text for a person: what was wrong, which task, what is allowed.
     pub detail: Option<String>,
-    /// When to come back, in milliseconds.
+    /// Time after which the caller should ask again, in milliseconds.
     pub retry_after_ms: Option<u64>,
-    /// Tasks known to have started, where that is of use.
+    /// Number of tasks known to have started, if it helps the caller.
     pub tasks_started: Option<u16>,
-    /// One result a task in order: all of them if complete, else none.
+    /// One result for each task in order if the outcome is complete, else empty.
     pub results: Vec<Payload>,
 }
 
 impl Answer {
-    /// An answer without results.
+    /// Returns an answer without results.
     #[must_use]
     pub fn without_results(outcome: Outcome, reason: Reason, step: Step) -> Self {
         Self {
@@ -232,7 +232,7 @@
         }
     }
 
-    /// A complete answer.
+    /// Returns the answer of a complete job or request.
     #[must_use]
     pub fn complete(results: Vec<Payload>) -> Self {
         let mut answer = Self::without_results(Outcome::Complete, Reason::Done, Step::Answer);
@@ -240,21 +240,21 @@
         answer
     }
 
-    /// Names the process or upstream at which it arose.
+    /// Sets the process or upstream at which the reason arose.
     #[must_use]
     pub fn at_peer(mut self, peer: impl Into<String>) -> Self {
         self.peer = Some(peer.into());
         self
     }
 
-    /// Tells the caller when to come back.
+    /// Sets the time after which the caller should ask again.
     #[must_use]
     pub fn retry_after_ms(mut self, retry_after_ms: u64) -> Self {
         self.retry_after_ms = Some(retry_after_ms);
         self
     }
 
-    /// Adds text for a person.
+    /// Sets the text for a person.
     #[must_use]
     pub fn with_detail(mut self, detail: impl Into<String>) -> Self {
         self.detail = Some(detail.into());
@@ -262,26 +262,27 @@
     }
 }
 
-/// What an agent knows of one task.
+/// An agent's record of one task.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TaskRecord {
-    /// Never started here, and never will be.
+    /// The agent has not started the task and never will.
     NeverStarted,
-    /// Started, still running.
+    /// The agent started the task, and it is still running.
     Running,
-    /// Started and ended; the end is kept.
+    /// The task ended, and the agent has kept its result or failure.
     Ended(TaskEnd),
-    /// Started and ended; the result was dropped to stay within memory.
+    /// The task ended, and the agent dropped its result to stay within the memory limit.
     EndDropped,
-    /// Started; the connection to the upstream broke, so the end is not known.
+    /// The agent started the task, but the connection to the upstream broke, so the end is not
+    /// known.
     Broken(Reason),
 }
 
-/// A task with what an agent knows of it.
+/// A task with an agent's record of it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskReport {
     /// The task.
     pub task: TaskId,
-    /// What is known.
+    /// The agent's record of the task.
     pub record: TaskRecord,
 }
--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -1,20 +1,20 @@
-//! Message bytes: postcard, one message a stream direction.
+//! Postcard encoding of messages. A QUIC stream carries one message in each direction.
 
 use {
     serde::{Serialize, de::DeserializeOwned},
     std::fmt,
 };
 
-/// Largest message accepted, in bytes.
+/// Maximum size of an encoded message, in bytes.
 pub const MAX_MESSAGE_BYTES: usize = 8 * 1024 * 1024;
 
-/// The bytes are not a message of the expected type.
+/// A message could not be encoded, or bytes are not a message of the expected type.
 #[derive(Debug)]
 pub struct CodecError(postcard::Error);
 
 impl fmt::Display for CodecError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "malformed inner message: {}", self.0)
+        write!(f, "malformed internal message: {}", self.0)
     }
 }
 
@@ -24,12 +24,12 @@
 ///
 /// # Errors
 ///
-/// When the type cannot be encoded, which no message of this crate is.
+/// When postcard cannot encode the type. It can encode all messages of this crate.
 pub fn encode<M: Serialize>(message: &M) -> Result<Vec<u8>, CodecError> {
     postcard::to_stdvec(message).map_err(CodecError)
 }
 
-/// Decodes a message that must fill `bytes` exactly.
+/// Decodes a message that takes up all of `bytes`.
 ///
 /// # Errors
 ///
--- a/crates/wire/src/frames.rs
+++ b/crates/wire/src/frames.rs
@@ -1,7 +1,7 @@
-//! Messages over TCP: each a length of four bytes and a postcard encoding.
+//! Messages over TCP: each is a length of four bytes followed by the postcard encoding.
 //!
-//! Used where nothing hands the processes keys, inside of a private network;
-//! `docs/PLATFORM.md` has the comparison with QUIC.
+//! Used inside a private network where the processes are not provided with keys.
+//! `docs/PLATFORM.md` compares this transport with QUIC.
 
 use {
     crate::codec::{self, CodecError, MAX_MESSAGE_BYTES},
@@ -18,19 +18,19 @@
     tokio_util::codec::{Decoder, Encoder, LengthDelimitedCodec},
 };
 
-/// Bytes asked for at once from the socket.
+/// Buffer space reserved for each read from the socket.
 const READ_BYTES: usize = 8 * 1024;
 
-/// What went wrong on a connection.
+/// Failure of a connection.
 #[derive(Debug)]
 pub enum FrameError {
-    /// It could not be made in time.
+    /// The connection could not be made in time.
     Connect(SocketAddr, io::Error),
-    /// It broke.
+    /// Reading from or writing to the connection failed.
     Broken(SocketAddr, io::Error),
-    /// The peer closed it.
+    /// The peer closed the connection.
     Closed(SocketAddr),
-    /// The peer's bytes are no message.
+    /// A message could not be encoded, or the peer's bytes could not be decoded.
     Codec(SocketAddr, CodecError),
 }
 
@@ -47,20 +47,20 @@
 
 impl std::error::Error for FrameError {}
 
-/// Reads messages.
+/// Reads messages from a TCP connection.
 #[derive(Debug)]
 pub struct FrameReader {
     peer: SocketAddr,
-    half: OwnedReadHalf,
+    read_half: OwnedReadHalf,
     codec: LengthDelimitedCodec,
     buffer: BytesMut,
 }
 
-/// Writes messages; those pushed together leave together.
+/// Writes messages to a TCP connection, all pushed since the last flush in one write.
 #[derive(Debug)]
 pub struct FrameWriter {
     peer: SocketAddr,
-    half: OwnedWriteHalf,
+    write_half: OwnedWriteHalf,
     codec: LengthDelimitedCodec,
     buffer: BytesMut,
 }
@@ -69,7 +69,7 @@
 ///
 /// # Errors
 ///
-/// When no connection is made in time.
+/// When the connection is refused, or not made in time.
 pub async fn connect(
     peer: SocketAddr,
     within: Duration,
@@ -80,28 +80,30 @@
     Ok(split(stream.map_err(failed)?, peer))
 }
 
-/// Prepares a connection for messages.
+/// Splits a TCP connection into a reader and a writer of messages.
 #[must_use]
 pub fn split(stream: TcpStream, peer: SocketAddr) -> (FrameReader, FrameWriter) {
-    // Without it small messages wait for the acknowledgement of those before;
-    // a refusal only costs that time.
+    // Without TCP_NODELAY a small message waits until earlier ones are acknowledged. If setting
+    // it fails, messages are only slower.
     let _ = stream.set_nodelay(true);
     let (read, write) = stream.into_split();
-    let reader = FrameReader { peer, half: read, codec: new_codec(), buffer: BytesMut::new() };
-    let writer = FrameWriter { peer, half: write, codec: new_codec(), buffer: BytesMut::new() };
+    let reader =
+        FrameReader { peer, read_half: read, codec: frame_codec(), buffer: BytesMut::new() };
+    let writer =
+        FrameWriter { peer, write_half: write, codec: frame_codec(), buffer: BytesMut::new() };
     (reader, writer)
 }
 
-fn new_codec() -> LengthDelimitedCodec {
+fn frame_codec() -> LengthDelimitedCodec {
     LengthDelimitedCodec::builder().max_frame_length(MAX_MESSAGE_BYTES).new_codec()
 }
 
 impl FrameReader {
-    /// Waits for the next message. Safe to drop and call again.
+    /// Waits for the next message. Cancel safe: no bytes are lost if the future is dropped.
     ///
     /// # Errors
     ///
-    /// When the connection ended or brought no message.
+    /// When the connection has ended, or its bytes are not a message.
     pub async fn next<M: DeserializeOwned>(&mut self) -> Result<M, FrameError> {
         let broken = |peer, err| FrameError::Broken(peer, err);
         loop {
@@ -110,7 +112,7 @@
                 return codec::decode(&frame).map_err(|err| FrameError::Codec(self.peer, err));
             }
             self.buffer.reserve(READ_BYTES);
-            let read = self.half.read_buf(&mut self.buffer).await;
+            let read = self.read_half.read_buf(&mut self.buffer).await;
             if read.map_err(|err| broken(self.peer, err))? == 0 {
                 return Err(FrameError::Closed(self.peer));
             }
@@ -119,24 +121,24 @@
 }
 
 impl FrameWriter {
-    /// Adds a message to what [`Self::flush`] sends.
+    /// Appends a message to the buffer that [`Self::flush`] sends.
     ///
     /// # Errors
     ///
-    /// When the message cannot be encoded or is too long.
+    /// When the message cannot be encoded or is longer than [`MAX_MESSAGE_BYTES`].
     pub fn push<M: Serialize>(&mut self, message: &M) -> Result<(), FrameError> {
         let bytes = codec::encode(message).map_err(|err| FrameError::Codec(self.peer, err))?;
         let encoded = self.codec.encode(Bytes::from(bytes), &mut self.buffer);
         encoded.map_err(|err| FrameError::Broken(self.peer, err))
     }
 
-    /// Sends what was pushed. Safe to drop and call again.
+    /// Sends the messages in the buffer. Cancel safe: the next call sends what is left.
     ///
     /// # Errors
     ///
-    /// When the connection broke.
+    /// When writing to the connection fails.
     pub async fn flush(&mut self) -> Result<(), FrameError> {
-        let written = self.half.write_all_buf(&mut self.buffer).await;
+        let written = self.write_half.write_all_buf(&mut self.buffer).await;
         written.map_err(|err| FrameError::Broken(self.peer, err))
     }
 }
--- a/crates/wire/src/keys.rs
+++ b/crates/wire/src/keys.rs
@@ -1,7 +1,8 @@
-//! Keys of the inner protocol: one authority a cluster, one key a process.
+//! Keys of the internal protocol: each cluster has a certificate authority and each process
+//! a key and certificate.
 //!
-//! Both ends of a session prove their role by a certificate which the
-//! cluster's authority issued; no verifier accepts anything else.
+//! Both ends of a session prove their role with a certificate issued by the cluster's
+//! authority, and accept no other certificates.
 
 use {
     rcgen::{
@@ -15,17 +16,17 @@
     std::fmt,
 };
 
-/// What a process may do on the inner protocol.
+/// Role of a process in the internal protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Role {
-    /// Home of jobs.
+    /// Process that accepts calls and is home to jobs.
     Entry,
-    /// Beside an upstream.
+    /// Process that runs beside an upstream and starts tasks on it.
     Agent,
 }
 
 impl Role {
-    /// The name in the role's certificates.
+    /// DNS name in the certificates of the role.
     #[must_use]
     pub fn server_name(self) -> &'static str {
         match self {
@@ -38,9 +39,9 @@
 /// A certificate and its private key, as PEM text.
 #[derive(Clone, PartialEq, Eq)]
 pub struct PemPair {
-    /// Certificate.
+    /// Certificate as PEM text.
     pub certificate_pem: String,
-    /// Private key.
+    /// Private key as PEM text.
     pub key_pem: String,
 }
 
@@ -50,14 +51,14 @@
     }
 }
 
-/// A key could not be made or read.
+/// A key or certificate could not be created or read.
 #[derive(Debug)]
 pub enum KeyError {
-    /// The PEM text of this field is not what it should be.
+    /// The PEM text of the named field does not hold an item of the expected type.
     Pem(&'static str),
-    /// Making or reading a certificate failed.
+    /// Creating or reading a certificate failed.
     Certificate(rcgen::Error),
-    /// The TLS library refused the keys.
+    /// The TLS library rejected the keys.
     Tls(rustls::Error),
 }
 
@@ -85,22 +86,22 @@
     }
 }
 
-/// Makes the authority of a new cluster.
+/// Creates the certificate authority of a new cluster.
 ///
 /// # Errors
 ///
-/// When the library cannot make a key.
+/// When the key or certificate cannot be created.
 pub fn generate_authority(cluster: &str) -> Result<PemPair, KeyError> {
     let key = KeyPair::generate()?;
     let certificate = authority_params(cluster)?.self_signed(&key)?;
     Ok(PemPair { certificate_pem: certificate.pem(), key_pem: key.serialize_pem() })
 }
 
-/// Issues the certificate of one process.
+/// Creates the key of a process and issues its certificate.
 ///
 /// # Errors
 ///
-/// When the authority's PEM cannot be read or the library refuses.
+/// When the authority's PEM text cannot be read, or the certificate cannot be created.
 pub fn issue_certificate(
     authority: &PemPair,
     role: Role,
@@ -125,7 +126,7 @@
     Ok(params)
 }
 
-/// Keys of one process, ready for sessions.
+/// Keys of one process, parsed for use in sessions.
 pub struct ProcessKeys {
     pub(crate) roots: RootCertStore,
     pub(crate) chain: Vec<CertificateDer<'static>>,
@@ -133,11 +134,11 @@
 }
 
 impl ProcessKeys {
-    /// Reads the authority's certificate and the process's own pair.
+    /// Parses the authority's certificate and the process's own certificate and key.
     ///
     /// # Errors
     ///
-    /// When a PEM text holds nothing of the expected type.
+    /// When a PEM text holds no item of the expected type.
     pub fn read(authority_pem: &str, own: &PemPair) -> Result<Self, KeyError> {
         let mut roots = RootCertStore::empty();
         for certificate in certificates(authority_pem, "authority certificate")? {
@@ -159,7 +160,7 @@
     }
 }
 
-/// Tells whether a peer's verified certificate proves the role.
+/// Whether a peer's certificate, already verified, proves the role.
 #[must_use]
 pub fn proves_role(certificate: &CertificateDer<'_>, role: Role) -> bool {
     let Ok(parsed) = webpki::EndEntityCert::try_from(certificate) else {
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,7 +1,7 @@
-//! Inner protocol between entries and agents, and among entries.
+//! Internal protocol between entries and agents, and among entries.
 //!
-//! Message types, their codec, the QUIC sessions that carry them and the keys
-//! that authenticate both ends. Nothing here decides anything.
+//! This crate holds the message types, their codec, the QUIC sessions and TCP frames that
+//! carry them and the keys that authenticate both ends. It makes no scheduling decisions.
 
 pub mod answer;
 pub mod codec;
--- a/crates/wire/src/message.rs
+++ b/crates/wire/src/message.rs
@@ -1,7 +1,10 @@
-//! Messages of the inner protocol. One request and one reply a stream.
+//! Messages of the internal protocol over QUIC. Each stream carries one request and one
+//! reply.
 //!
-//! An agent dials every entry and says [`AgentHello`]; from then on either
-//! side opens streams on that connection. Entries dial each other when needed.
+//! An agent connects to every entry and sends [`AgentHello`]; from then on either side opens
+//! streams on that connection. Entries connect to each other when needed.
+//!
+//! Postcard encodes these messages: the order of fields and variants is the wire format.
 
 use {
     crate::{
@@ -13,267 +16,269 @@
     std::net::SocketAddr,
 };
 
-/// Highest configuration mark a process has seen: the platform's own revision.
+/// Revision of the platform's store, by which processes compare how recent their
+/// configuration is.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub struct ConfigMark(pub u64);
 
-/// Who an agent is and where it stands.
+/// Identity and location of an agent.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct AgentIdentity {
-    /// This run of the agent.
+    /// Incarnation of the agent.
     pub incarnation: Incarnation,
-    /// Name from the settings, the same over restarts.
+    /// The agent's name from its settings; a restart keeps it.
     pub name: String,
-    /// Address of the agent, for people.
+    /// Address of the agent, shown to operators.
     pub address: SocketAddr,
-    /// Data centre from the settings.
+    /// The agent's data centre from its settings.
     pub data_centre: String,
-    /// Rack from the settings.
+    /// The agent's rack from its settings.
     pub rack: String,
 }
 
-/// What an upstream says of itself.
+/// What an upstream announces about itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpstreamInfo {
-    /// The upstream's name.
+    /// Name of the upstream.
     pub name: String,
-    /// Tasks it runs at once.
+    /// Number of tasks that it runs at the same time.
     pub slots: u16,
-    /// Largest declared task size it can hold, in bytes of memory.
+    /// Largest declared memory size of a task that it can run, in bytes.
     pub max_task_bytes: u64,
-    /// Request kinds it serves, as `organisation/kind`, `*/kind` or `*`.
+    /// Kinds of requests that it serves, as `organisation/kind`, `*/kind` or `*`.
     pub kinds: Vec<String>,
 }
 
-/// Load of an agent's upstream; rides on every reply to an entry.
+/// Load of an agent's upstream, sent with every reply to an entry.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
-    /// Grows with each report of this run, so that an older one is not taken.
+    /// Number of the report. Rises within an incarnation of the agent, so that the entry can
+    /// ignore an older report that arrives late.
     pub sequence: u64,
-    /// Tasks running.
+    /// Number of running tasks.
     pub running: u16,
-    /// Tasks accepted and waiting for a slot.
+    /// Number of accepted tasks that wait for a slot.
     pub queued: u16,
-    /// Slots in all.
+    /// Number of slots, free or not.
     pub slots: u16,
-    /// The upstream is leaving, or was not heard of for its lease.
+    /// The upstream is leaving, or has not renewed its announcement within its lease.
     pub leaving: bool,
 }
 
 /// First message of an agent on a connection.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AgentHello {
-    /// Who it is.
+    /// Identity of the agent.
     pub agent: AgentIdentity,
-    /// Its upstream, if one has announced itself.
+    /// The agent's upstream, if one has announced itself.
     pub upstream: Option<UpstreamInfo>,
-    /// Load now.
+    /// Current load.
     pub load: Load,
-    /// Highest configuration mark the agent has seen on replies.
+    /// Highest configuration mark that the agent has received from entries.
     pub config_mark: ConfigMark,
     /// Evacuated data centres as the agent knows them.
     pub evacuations: Evacuations,
 }
 
-/// What an entry answers to [`AgentHello`] and [`FromAgent::Heartbeat`].
+/// Reply of an entry to [`AgentHello`] and [`FromAgent::Heartbeat`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntryWelcome {
-    /// This run of the entry.
+    /// Incarnation of the entry.
     pub incarnation: Incarnation,
-    /// The members known, unless they are those last told on this connection.
+    /// The known members, unless they are the same as last sent on this connection.
     pub members: Option<MemberList>,
-    /// Highest configuration mark the entry has seen.
+    /// Highest configuration mark that the entry has seen.
     pub config_mark: ConfigMark,
-    /// The entry is stopping: keep the connection, expect no new work.
+    /// The entry is stopping: it places no new work, and the agent keeps the connection.
     pub draining: bool,
-    /// Evacuated data centres as the entry knows them, unless the agent holds them by
-    /// what was said on this connection.
+    /// Evacuated data centres as the entry knows them, unless messages on this connection
+    /// show that the agent has them already.
     pub evacuations: Option<Evacuations>,
 }
 
-/// Members that an entry tells agents of.
+/// Cluster members that an entry sends to agents.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberList {
-    /// All entries known, for the agent to dial.
+    /// Addresses of all known entries, for the agent to connect to.
     pub entries: Vec<SocketAddr>,
-    /// Runs of entries that are fenced for good.
+    /// Incarnations of entries that are permanently fenced.
     pub fenced: Vec<Incarnation>,
 }
 
-/// From an agent to an entry.
+/// Messages from an agent to an entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FromAgent {
-    /// First message of a connection, and again when the upstream changes:
-    /// announced, changed, leaving or gone.
+    /// First message of a connection. Sent again when the upstream is announced, changed,
+    /// leaving or gone.
     Hello(Box<AgentHello>),
-    /// Heartbeat of an idle pair.
+    /// Heartbeat, sent while the agent and the entry exchange nothing else.
     Heartbeat {
-        /// Load now.
+        /// Current load.
         load: Load,
-        /// Highest configuration mark the agent has seen.
+        /// Highest configuration mark that the agent has seen.
         config_mark: ConfigMark,
     },
 }
 
-/// A task for an agent to start, once.
+/// A task that an agent is to start at most once.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Placement {
-    /// The run of the agent it is meant for.
+    /// Incarnation of the agent that the placement is for.
     pub agent: Incarnation,
     /// The task.
     pub task: TaskId,
-    /// Tasks in the job.
+    /// Number of tasks in the job.
     pub task_count: u16,
-    /// Hash of the whole submission, kept with the record.
+    /// Hash of the whole submission, which the agent keeps with the task's record.
     pub content: ContentHash,
-    /// Organisation's name, for the upstream.
+    /// Name of the organisation, passed to the upstream.
     pub organisation: String,
-    /// Request kind's name.
+    /// Name of the request kind.
     pub kind: String,
-    /// What the upstream is to be given.
+    /// Payload for the upstream.
     pub payload: Payload,
-    /// Start within this many milliseconds of receipt, or refuse.
+    /// Milliseconds from receipt within which the task must start; else the agent refuses it.
     pub start_within_ms: u32,
-    /// End within this many milliseconds of receipt.
+    /// Milliseconds from receipt within which the task must end.
     pub end_within_ms: u32,
-    /// Lower starts first among those queued at the agent.
+    /// Lower numbers start first among the tasks queued at the agent.
     pub urgency: u8,
-    /// Highest configuration mark the entry has seen.
+    /// Highest configuration mark that the entry has seen.
     pub config_mark: ConfigMark,
 }
 
-/// From an entry to an agent.
+/// Messages from an entry to an agent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ToAgent {
-    /// Start a task. Sent again after a broken connection it joins the first.
+    /// Start a task. If the entry repeats the message after a broken connection, the agent
+    /// does not start the task again but replies with the result of the first start.
     Place(Placement),
-    /// Stop these tasks: those not started never start, those running are
-    /// ended as failed, those ended are told.
+    /// Stop these tasks. Tasks that have not started never will, running ones are ended as
+    /// failed, and the results of ended ones are reported.
     Revoke {
-        /// The tasks, of one or more jobs.
+        /// The tasks, which may belong to several jobs.
         tasks: Vec<TaskId>,
     },
-    /// Refuse all placements of this run of an entry from now on, and tell
-    /// what is known of these jobs.
+    /// Refuse all placements of a lost entry from now on, and report what is known of these
+    /// jobs.
     Fence {
-        /// The lost run.
+        /// Incarnation of the lost entry.
         home: Incarnation,
-        /// Jobs asked for.
+        /// The jobs to report.
         jobs: Vec<JobId>,
     },
-    /// Are you there? Sent only while work is outstanding and nothing was
-    /// heard for a while.
+    /// Checks that the agent is alive. Sent only while work is outstanding and the agent has
+    /// been silent for a while.
     Probe,
-    /// A run of an entry has started: dial it, rather than find out at the next
+    /// An entry has started: the agent connects to it now rather than after the next
     /// heartbeat.
     EntryStarted {
-        /// Its address for agents.
+        /// Address of the entry for agents.
         address: SocketAddr,
-        /// The run.
+        /// Incarnation of the entry.
         incarnation: Incarnation,
     },
-    /// Evacuated data centres as the entry knows them, when they have changed.
+    /// Evacuated data centres as the entry knows them, sent when they have changed.
     Evacuations(Evacuations),
 }
 
-/// From an agent, in reply to [`ToAgent`].
+/// Reply of an agent to [`ToAgent`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AgentReply {
-    /// The run that answers.
+    /// Incarnation of the agent that replies.
     pub agent: Incarnation,
-    /// Load after what was asked.
+    /// Load after the request was handled.
     pub load: Load,
-    /// Highest configuration mark the agent has seen.
+    /// Highest configuration mark that the agent has seen.
     pub config_mark: ConfigMark,
-    /// The reply proper.
+    /// Content of the reply.
     pub body: AgentReplyBody,
 }
 
-/// The reply proper.
+/// Content of an [`AgentReply`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AgentReplyBody {
-    /// The task was started here and ended.
+    /// The agent started the task, and it has ended.
     Ended {
-        /// How it ended.
+        /// Result or failure of the task.
         end: TaskEnd,
-        /// Time in the upstream, in microseconds.
+        /// Time that the upstream took, in microseconds.
         run_us: u64,
         /// Time queued at the agent, in microseconds.
         queued_us: u64,
     },
-    /// The task was started here; its end is not known and won't be.
+    /// The agent started the task; its end is not known and never will be.
     Broken(Reason),
-    /// The task was not started by this placement. `never` tells that no
-    /// later placement of it starts here either.
+    /// This placement did not start the task.
     NotStarted {
-        /// Why.
+        /// Why the task was not started.
         reason: Reason,
-        /// A tombstone is kept: later placements are refused as well.
+        /// The agent keeps a tombstone and refuses later placements of the task as well.
         never: bool,
-        /// When the agent expects a free slot, in milliseconds.
+        /// Time until the agent expects a free slot, in milliseconds.
         retry_after_ms: u32,
     },
-    /// What is known of each revoked task.
+    /// What the agent knows of each revoked task.
     Revoked(Vec<TaskReport>),
-    /// What is known of the fenced jobs: tasks with any record. A task of a
-    /// fenced job that is not listed was never started here and never will be.
+    /// The agent's task records of the fenced jobs. A task of a fenced job that is not listed
+    /// was never started by this agent and never will be.
     Fenced(Vec<FencedJob>),
-    /// Reply to a probe.
+    /// Reply to [`ToAgent::Probe`].
     Probed,
-    /// Taken.
+    /// The message was received and needs no other reply.
     Acknowledged,
 }
 
-/// What an agent holds of a fenced job.
+/// The records that an agent holds of a fenced job.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FencedJob {
     /// The job.
     pub job: JobId,
-    /// Tasks in the job, from its placements.
+    /// Number of tasks in the job, taken from its placements.
     pub task_count: u16,
-    /// Hash of the submission, from its placements.
+    /// Hash of the submission, taken from its placements.
     pub content: ContentHash,
-    /// Its tasks with a record here.
+    /// Tasks of the job that the agent has a record of.
     pub tasks: Vec<TaskReport>,
 }
 
-/// What is submitted: a job of tasks, or a single request.
+/// Form of a submission: a job of tasks, or a single request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Unit {
-    /// Each task starts at most once, whatever the kind.
+    /// A job. Each task starts at most once, whatever its kind.
     Job,
-    /// A single call; the system may repeat it if the kind allows.
+    /// A single request, which may be started again if its kind is repeatable.
     Request,
 }
 
-/// A submission on its way to its home.
+/// A submission, as an entry forwards it to the job's home entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Submission {
-    /// Reserved id.
+    /// Id that the caller reserved.
     pub job: JobId,
-    /// Job or request.
+    /// Whether it is a job or a request.
     pub unit: Unit,
-    /// Organisation's name, from the caller's token.
+    /// Name of the organisation that the caller's token belongs to.
     pub organisation: String,
     /// Request kind.
     pub kind: String,
-    /// One payload a task.
+    /// One payload for each task.
     pub payloads: Vec<Payload>,
     /// Hash of unit, kind and payloads.
     pub content: ContentHash,
-    /// The caller's deadline in milliseconds from receipt, if given.
+    /// The caller's deadline, in milliseconds from receipt, if the caller set one.
     pub deadline_ms: Option<u32>,
 }
 
-/// From one entry to another.
+/// Messages from one entry to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ToEntry {
-    /// Take the submission, answer when it is decided.
+    /// Accept a submission and reply once its outcome is decided.
     Submit(Submission),
-    /// Tell where a job stands.
+    /// Report the state of a job.
     Fetch {
         /// The job.
         job: JobId,
@@ -283,28 +288,28 @@
         /// The job.
         job: JobId,
     },
-    /// Can you reach this run of an entry?
+    /// Check whether the receiver can reach an entry.
     Reach {
-        /// Its address for peers.
+        /// Address of that entry for its peers.
         address: SocketAddr,
-        /// The run asked for.
+        /// Incarnation of that entry.
         incarnation: Incarnation,
     },
-    /// Organisations' records newer than the mark, for a peer that starts or
-    /// lags while the platform is out.
+    /// Send the organisations' records newer than a mark. Asked by a peer that starts or is
+    /// behind while the platform is unavailable.
     Templates {
-        /// What the peer has.
+        /// Highest mark that the peer has.
         since: ConfigMark,
     },
-    /// Demand on quotas, by organisation: all of it, or what has changed.
+    /// Demand on quotas by organisation, either in full or as changes.
     Usage(UsageReport),
-    /// Who are you? Answered with the run and its state.
+    /// Report the receiver's incarnation and state.
     Status,
-    /// This run of an entry has started: tell the agents connected to you.
+    /// An entry has started: the receiver tells the agents connected to it.
     Started {
-        /// Its address for agents.
+        /// Address of the entry for agents.
         address: SocketAddr,
-        /// The run.
+        /// Incarnation of the entry.
         incarnation: Incarnation,
     },
 }
@@ -312,73 +317,74 @@
 /// Demand on quotas at one entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UsageReport {
-    /// Who reports.
+    /// Incarnation of the entry that reports.
     pub entry: Incarnation,
-    /// The report's number.
+    /// Number of the report.
     pub number: u64,
-    /// Number of the report to which this one gives the changes; 0 if it gives
-    /// all there is.
+    /// Number of the report that this one changes; 0 if this report is complete.
     pub since: u64,
-    /// Task starts a second asked for, by organisation.
+    /// Demand by organisation, in task starts per second.
     pub starts_per_s: Vec<(OrganisationKey, u32)>,
 }
 
-/// One organisation's record as the platform holds it.
+/// One organisation's record as the platform stores it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TemplateRecord {
-    /// Organisation's name.
+    /// Name of the organisation.
     pub organisation: String,
-    /// The platform's revision of the key.
+    /// Revision at which the platform stored the record.
     pub mark: ConfigMark,
-    /// The stored value, as text.
+    /// The stored text.
     pub value: String,
 }
 
-/// How another entry stands.
+/// State of an entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntryStatus {
-    /// Its run.
+    /// Incarnation of the entry.
     pub incarnation: Incarnation,
-    /// Its name from the settings.
+    /// The entry's name from its settings.
     pub name: String,
-    /// Its data centre.
+    /// The entry's data centre.
     pub data_centre: String,
-    /// It serves callers.
+    /// The entry serves callers.
     pub ready: bool,
-    /// It is stopping.
+    /// The entry is stopping.
     pub draining: bool,
     /// Highest configuration mark in force.
     pub config_mark: ConfigMark,
-    /// Revision in force, by organisation.
+    /// Revision of the template in force, by organisation.
     pub revisions: Vec<(String, u64)>,
 }
 
-/// Reply to [`ToEntry`].
+/// Reply of an entry to [`ToEntry`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntryReply {
-    /// The run that answers.
+    /// Incarnation of the entry that replies.
     pub entry: Incarnation,
-    /// Highest configuration mark it has seen.
+    /// Highest configuration mark that the entry has seen.
     pub config_mark: ConfigMark,
-    /// The reply proper.
+    /// Content of the reply.
     pub body: EntryReplyBody,
 }
 
-/// The reply proper.
+/// Content of an [`EntryReply`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EntryReplyBody {
-    /// Of a submission, fetch or cancellation.
+    /// Answer to a submission, fetch or cancellation.
     Answer(Answer),
-    /// This run is not the id's home: its home is gone for good.
+    /// The incarnation that replies is not the home of the job id: the home is permanently
+    /// gone.
     OtherIncarnation,
-    /// Whether the entry asked for can be reached, and under which run.
+    /// Incarnation found at the address asked for; `None` if the entry is not reachable.
     Reached(Option<Incarnation>),
-    /// Records newer than asked for.
+    /// Records newer than the mark in the request.
     Templates(Vec<TemplateRecord>),
-    /// Taken.
+    /// The message was received and needs no other reply.
     Acknowledged,
-    /// The report to which changes were given is not held: tell all.
+    /// The receiver does not have the report that the changes apply to, and needs a complete
+    /// report.
     BaseReportMissing,
-    /// How the entry stands.
+    /// State of the entry.
     Status(EntryStatus),
 }
--- a/crates/wire/src/runs.rs
+++ b/crates/wire/src/runs.rs
@@ -1,9 +1,11 @@
-//! Messages between entries and agents for runs under leases: tasks that an
-//! upstream runs only as long as its agent renews their lease.
+//! Messages between entries and agents for leased runs: tasks that an upstream runs only
+//! as long as its agent renews their lease.
 //!
-//! An agent dials entries and keeps one connection to each that it chose. Messages go
-//! both ways without waiting for replies; what must not be lost (ends of runs)
-//! is numbered and sent again on the next connection.
+//! An agent connects to some of the entries and keeps one connection to each. Both sides
+//! send messages without waiting for replies. Messages that must not be lost (the ends of
+//! runs) are numbered and sent again on the next connection.
+//!
+//! Postcard encodes these messages: the order of fields and variants is the wire format.
 
 use {
     crate::ids::Incarnation,
@@ -11,7 +13,7 @@
     std::{fmt, net::SocketAddr, str::FromStr},
 };
 
-/// A job's id as its caller chose it: 16 lower-case hexadecimal digits.
+/// A job id chosen by the caller. Its text form is 16 lower-case hexadecimal digits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct CallerJobId(pub u64);
 
@@ -21,7 +23,7 @@
     }
 }
 
-/// The text is no [`CallerJobId`].
+/// Returned when a text is not a [`CallerJobId`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct InvalidCallerJobId;
 
@@ -37,14 +39,14 @@
     }
 }
 
-/// One task of a job.
+/// Identity of one task of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct TaskKey {
-    /// Its job.
+    /// The job that the task belongs to.
     pub job: CallerJobId,
-    /// Number of its step, from 0.
+    /// Number of the task's step within the job, from 0.
     pub step: u8,
-    /// Its number within the step, from 0.
+    /// Number of the task within its step, from 0.
     pub index: u16,
 }
 
@@ -54,19 +56,19 @@
     }
 }
 
-/// What a task takes of an upstream, or what an upstream has.
+/// Resources that a task needs or that an upstream has.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Resources {
-    /// Processor, in thousandths of a core.
+    /// CPU, in thousandths of a core.
     pub cpu_milli: u32,
     /// Memory, in megabytes.
     pub memory_mb: u32,
-    /// Whole accelerators.
+    /// Number of accelerators.
     pub accelerators: u32,
 }
 
 impl Resources {
-    /// Whether `need` fits.
+    /// Whether there is at least as much of each resource as `need` asks for.
     #[must_use]
     pub fn covers(&self, need: &Self) -> bool {
         self.cpu_milli >= need.cpu_milli
@@ -74,7 +76,7 @@
             && self.accelerators >= need.accelerators
     }
 
-    /// What is left beside `taken`; nothing where more is taken than there is.
+    /// Subtracts `taken` from each resource, down to 0.
     #[must_use]
     pub fn minus(&self, taken: &Self) -> Self {
         Self {
@@ -84,7 +86,7 @@
         }
     }
 
-    /// The most of each.
+    /// Takes the larger amount of each resource.
     #[must_use]
     pub fn max_of_each(&self, other: &Self) -> Self {
         Self {
@@ -94,7 +96,7 @@
         }
     }
 
-    /// Both together.
+    /// Adds the amounts of each resource, up to the largest number.
     #[must_use]
     pub fn plus(&self, other: &Self) -> Self {
         Self {
@@ -105,71 +107,72 @@
     }
 }
 
-/// One start of a task.
+/// A start of a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskStart {
-    /// The task's number within its step.
+    /// Number of the task within its step, from 0.
     pub index: u16,
-    /// Number of the start: 1 for the first, then rising.
+    /// Number of this start of the task: 1 for the first, then rising.
     pub run: u32,
 }
 
-/// Tasks of one step of a job, for one agent.
+/// Tasks of one step of a job, placed on one agent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StepPlacement {
     /// The job.
     pub job: CallerJobId,
-    /// Number of the step.
+    /// Number of the step within the job, from 0.
     pub step: u8,
-    /// The caller's text for the upstream.
+    /// The caller's specification of the tasks, passed to the upstream unread.
     pub spec: String,
     /// The tasks to start.
     pub tasks: Vec<TaskStart>,
-    /// What each takes.
+    /// Resources that each task needs.
     pub need: Resources,
-    /// Expected run time of each, in milliseconds.
+    /// Expected run time of each task, in milliseconds.
     pub run_ms: u32,
-    /// Lower goes first among tasks that can still be in time.
+    /// Lower numbers start first among tasks that can still meet their objective.
     pub priority: u8,
-    /// Milliseconds from sending within which the job is in time.
+    /// Time left to meet the job's objective, in milliseconds from sending.
     pub objective_in_ms: u32,
-    /// Milliseconds from sending after which nobody waits for the job.
+    /// Time until the job's caller gives up, in milliseconds from sending.
     pub give_up_in_ms: u32,
-    /// Most of the job's tasks have begun: these are what it waits for.
+    /// Most of the job's tasks have started, so the job waits for the rest. The agent starts
+    /// these tasks before others of their priority, also when they are late.
     pub job_mostly_started: bool,
-    /// Upstreams crashed while these ran there, more than once: not two such tasks run at
-    /// one upstream, so that the next crash hits one of them only.
+    /// Upstreams crashed more than once while these tasks ran. An upstream runs at most one
+    /// suspect task at a time, so that its next crash affects only one of them.
     pub suspect: bool,
 }
 
-/// Why a run did not start.
+/// Why the agent did not start a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum NotStarted {
     /// The agent or its upstream is leaving.
     Leaving,
     /// The upstream's data centre is evacuated.
     Evacuated,
-    /// The entry had not heard the agent lately as the order came: it may be an old one,
-    /// and the task may be elsewhere by now.
+    /// When the placement arrived, the entry had not confirmed recent messages of the agent:
+    /// the placement may be old, and the task may have been placed elsewhere since.
     Stale,
-    /// It could not end before its caller gives up.
+    /// The run could not end before the caller gives up.
     TooLate,
-    /// It was withdrawn before it started.
+    /// The entry withdrew the task before it started.
     Withdrawn,
-    /// The upstream is gone or was not heard of.
+    /// The upstream is gone or has not announced itself.
     NoUpstream,
-    /// The upstream has seen this run number or a higher one of the task.
+    /// The upstream has already seen this run number of the task, or a higher one.
     OldRun,
-    /// The upstream refused for want of room.
+    /// The upstream does not have the resources that the task needs.
     NoRoom,
-    /// The upstream answered as unhealthy, or refused the order.
+    /// The upstream reported that it is unhealthy, or refused the start.
     Refused,
-    /// The order was not carried out in time; it never will be.
+    /// The upstream did not confirm the start in time, and will not start the run later.
     Unanswered,
 }
 
 impl NotStarted {
-    /// Label of counters and logs.
+    /// Label in metrics and logs.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -187,61 +190,61 @@
     }
 }
 
-/// What became of a run.
+/// An event of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RunEvent {
-    /// It began.
+    /// The run started.
     Started,
-    /// It ended well, after so many milliseconds.
+    /// The run succeeded.
     Done {
-        /// Run time as the agent saw it.
+        /// Run time as the agent measured it, in milliseconds.
         run_ms: u32,
     },
-    /// It ended by its own or the upstream's fault.
+    /// The run ended with a failure of the task or of the upstream.
     Failed {
-        /// Run time as the agent saw it.
+        /// Run time as the agent measured it, in milliseconds.
         run_ms: u32,
     },
-    /// It was stopped on request.
+    /// The run was stopped on request.
     Stopped,
-    /// It began, or may have begun, and surely runs no more; how it ended is
+    /// The run started, or may have started, and certainly runs no more; how it ended is
     /// not known.
     Lost,
-    /// The same, as its upstream crashed: the life ended without a word while it ran.
-    /// Which of its runs brought that about is not known.
+    /// As [`Self::Lost`], because the upstream crashed: the instance ended without notice
+    /// while the run was active. Which of its runs caused the crash is not known.
     Crashed,
-    /// It never began and never will.
+    /// The run did not start and never will.
     NotStarted(NotStarted),
 }
 
-/// A numbered event of a run.
+/// A numbered report of an event of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunReport {
-    /// Rises with each report of an agent's run.
+    /// Number of the report; rises within an incarnation of the agent.
     pub number: u64,
     /// The task.
     pub task: TaskKey,
-    /// Number of the start.
+    /// Number of the start of the task.
     pub run: u32,
     /// What happened.
     pub event: RunEvent,
 }
 
-/// Crashes of an agent's upstream while a task ran there, whoever had placed it.
+/// Crashes of an agent's upstream while a task ran there, whichever entry placed it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskCrashes {
-    /// The run of the agent.
+    /// Incarnation of the agent.
     pub agent: Incarnation,
     /// The task.
     pub task: TaskKey,
-    /// How many.
+    /// Number of crashes.
     pub crashes: u8,
-    /// How long ago the last one was, in milliseconds.
+    /// Time since the last crash, in milliseconds.
     pub ago_ms: u32,
 }
 
 impl TaskCrashes {
-    /// So many crashes, the last of them at this time of the own clock.
+    /// Builds the message from the time of the last crash by the sender's clock.
     #[must_use]
     pub fn from_last_crash(
         last_ms: i64,
@@ -252,52 +255,53 @@
         Self { agent, task, crashes, ago_ms }
     }
 
-    /// When the last one was by the own clock, maybe before that began.
+    /// Time of the last crash by the receiver's clock, negative where the crash came before
+    /// that clock's start.
     #[must_use]
     pub fn last_crash_ms(&self, now_ms: u64) -> i64 {
         now_ms as i64 - i64::from(self.ago_ms)
     }
 }
 
-/// Priorities that are told apart in [`UpstreamLoad`].
+/// Number of priority classes in [`UpstreamLoad`].
 pub const PRIORITY_CLASSES: usize = 4;
 
 /// Load of an agent's upstream.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpstreamLoad {
-    /// It takes new runs: announced, not leaving, nothing of an earlier run of
-    /// the agent is left on it.
+    /// The upstream takes new runs: it is announced and not leaving, and no run of an earlier
+    /// incarnation of the agent is left on it.
     pub usable: bool,
-    /// What it has in all.
+    /// All resources of the upstream.
     pub capacity: Resources,
-    /// What runs, or may run, takes.
+    /// Resources of the runs that are active or may be.
     pub taken: Resources,
-    /// Work that waits at the agent by priority, the last for all that is less
-    /// urgent or late, in thousandths of a core times milliseconds.
+    /// Expected work of the tasks that wait at the agent, by priority, in thousandths of a
+    /// core times milliseconds. The last class holds all lower priorities and late tasks.
     pub waiting_milli_ms: [u64; PRIORITY_CLASSES],
-    /// What is left of the runs, by their estimates, in the same unit.
+    /// Expected work left of the active runs, in the same unit.
     pub running_milli_ms: u64,
-    /// Tasks that wait at the agent.
+    /// Number of tasks that wait at the agent.
     pub waiting: u32,
-    /// Run times against their estimates, in percent: 100 as expected.
+    /// Run times relative to their estimates, in percent; 100 is as expected.
     pub slowness_percent: u32,
-    /// Share of recent runs that ended as failed, in percent.
+    /// Share of recent runs that failed, in percent.
     pub failing_percent: u32,
 }
 
-/// A configuration as the platform holds it, passed on between processes.
+/// A copy of the platform's configuration, passed on between processes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigurationCopy {
-    /// Its revision; a higher one replaces a lower one.
+    /// Revision of the configuration; a higher one replaces a lower one.
     pub revision: u64,
-    /// The stored value.
+    /// The value as the platform stores it.
     pub value: String,
 }
 
-/// Data centres whose upstreams get no new runs, by the operators' word.
+/// Data centres that operators have evacuated: their upstreams get no new runs.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evacuations {
-    /// The platform's revision as of which the list is known to be true.
+    /// The platform's latest revision at which the list is known to be current.
     pub revision: u64,
     /// Names of the data centres, sorted.
     pub data_centres: Vec<String>,
@@ -310,14 +314,14 @@
         self.data_centres.iter().any(|evacuated| evacuated == data_centre)
     }
 
-    /// Whether it was true later than the other list, and says something else.
+    /// Whether this list is newer than `other` and names other data centres.
     #[must_use]
     pub fn is_update_to(&self, other: &Self) -> bool {
         self.revision > other.revision && self.data_centres != other.data_centres
     }
 
-    /// What a peer is to be told that holds `known`, where it lacks anything; it holds that
-    /// from then on.
+    /// Returns the list to send to a peer that holds `known`, if it is an update for the peer,
+    /// and sets `known` to it.
     pub fn update_for_peer(&self, known: &mut Self) -> Option<Self> {
         if !self.is_update_to(known) {
             return None;
@@ -326,7 +330,7 @@
         Some(self.clone())
     }
 
-    /// Takes what was true later. Returns whether the list has changed.
+    /// Takes over `newer` if its revision is higher. Returns whether the data centres changed.
     pub fn merge_newer(&mut self, newer: &Self) -> bool {
         let changed = newer.is_update_to(self);
         if newer.revision > self.revision {
@@ -336,30 +340,30 @@
     }
 }
 
-/// Identity of one life of an upstream. An upstream that starts again may keep its id;
-/// its start then tells the lives apart.
+/// Identity of one instance of an upstream, from its start to its end. An upstream that
+/// restarts may keep its id; the start time then tells its instances apart.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct InstanceId {
     /// The upstream's id.
     pub id: String,
-    /// When it started, in Unix milliseconds by the clock of its VM, which may go back:
-    /// a later life may have a lower one. `None` where the upstream does not tell.
+    /// Start time in Unix milliseconds by the clock of the upstream's VM. That clock may go
+    /// back, so a later instance may have a lower one. `None` if the upstream reports none.
     pub started_unix_ms: Option<u64>,
 }
 
 impl InstanceId {
-    /// The life of an upstream that does not tell when it started.
+    /// Identity of an instance of an upstream that reports no start time.
     #[must_use]
     pub fn without_start(id: &str) -> Self {
         Self { id: id.to_owned(), started_unix_ms: None }
     }
 
-    /// The present life, if this one has its id and does not tell a start: without one
-    /// lives are told apart by their ids alone.
+    /// Returns `current` if this identity has the same id and no start time, because instances
+    /// without a start time are told apart by their ids alone. Otherwise returns `self`.
     #[must_use]
-    pub fn or_current(self, present: Option<&Self>) -> Self {
-        let is_present = |present: &&Self| self.started_unix_ms.is_none() && present.id == self.id;
-        present.filter(is_present).cloned().unwrap_or(self)
+    pub fn or_current(self, current: Option<&Self>) -> Self {
+        let is_current = |current: &&Self| self.started_unix_ms.is_none() && current.id == self.id;
+        current.filter(is_current).cloned().unwrap_or(self)
     }
 }
 
@@ -372,40 +376,41 @@
     }
 }
 
-/// An upstream's life as an entry remembers it for an agent that restarts.
+/// An instance of an upstream, as its agent describes it. Entries keep the record, so that
+/// an agent that restarts gets it back.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpstreamInstance {
-    /// Which life it is.
+    /// Identity of the instance.
     pub id: InstanceId,
-    /// Highest fence that orders under the id had so far, as far as it is known. Upstreams
-    /// do not announce it; records of the earlier form lack it.
+    /// Highest fencing number known to have been used in orders to the upstream id. Upstreams do
+    /// not announce it. Defaults to 0, because older stored records lack it.
     #[serde(default)]
     pub order_fence: u64,
-    /// The pool it belongs to.
+    /// Pool that the upstream belongs to.
     pub pool: String,
-    /// What it has in all.
+    /// All resources of the upstream.
     pub capacity: Resources,
-    /// Its labels.
+    /// Labels that tasks may require.
     pub labels: Vec<String>,
-    /// It said that it leaves.
+    /// The upstream has announced that it is leaving.
     pub leaving: bool,
 }
 
 /// First message of an agent on a connection.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunsHello {
-    /// This run of the agent.
+    /// Incarnation of the agent.
     pub agent: Incarnation,
-    /// Name from the settings, the same over restarts.
+    /// The agent's name from its settings; a restart keeps it.
     pub name: String,
-    /// Data centre from the settings.
+    /// The agent's data centre from its settings.
     pub data_centre: String,
-    /// The entry incarnation that the agent heard last at this address.
+    /// Entry incarnation that the agent last connected to at this address.
     pub last_heard_entry: Option<Incarnation>,
-    /// Runs of that incarnation that the agent holds, with their numbers. Others
-    /// that the entry placed before run no more, if they began at all.
+    /// Runs placed by that incarnation that the agent still holds, with their run numbers.
+    /// Others that it placed earlier are not active any more, if they started at all.
     pub held_runs: Vec<(TaskKey, u32)>,
-    /// Reports to that incarnation that it has not confirmed.
+    /// Reports to that incarnation which it has not confirmed.
     pub unconfirmed_reports: Vec<RunReport>,
     /// Revision of the configuration copy that the agent holds.
     pub configuration_revision: u64,
@@ -414,69 +419,71 @@
 /// First message on a connection to an entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RunsFirstMessage {
-    /// An agent connects; the connection stays.
+    /// An agent connects and keeps the connection.
     Agent(RunsHello),
-    /// Another entry asks about a job; the connection ends with the answer, a
-    /// [`JobQueryReply`].
+    /// Another entry asks about a job. The reply is a [`JobQueryReply`], after which the
+    /// connection ends.
     Entry(JobQuery),
 }
 
-/// A question of an entry whose caller names a job that it does not hold.
+/// Sent to the other entries by an entry whose caller names a job that the entry does not
+/// hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobQuery {
     /// The job.
     pub job: CallerJobId,
-    /// Whether to cancel it, beside looking.
+    /// Whether to cancel the job as well.
     pub cancel: bool,
 }
 
-/// The answer to a [`JobQuery`].
+/// Reply to a [`JobQuery`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobQueryReply {
-    /// The entry holds the job, and has cancelled it where that was asked.
+    /// The entry holds the job, and has cancelled it if the query asked for that.
     pub found: bool,
 }
 
 /// From an agent to an entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FromRunsAgent {
-    /// What became of runs, and the load after it. Also the heartbeat.
+    /// Events of runs and the load after them. Also serves as the agent's heartbeat.
     Report {
-        /// Messages heard from the entry on this connection.
+        /// Number of messages received from the entry on this connection.
         heard: u64,
-        /// Reports not sent yet on this connection, in their order.
+        /// Reports not yet sent on this connection, in ascending order of their numbers.
         reports: Vec<RunReport>,
         /// Load of the upstream.
         load: UpstreamLoad,
     },
-    /// The upstream's life, when it is known or has changed.
+    /// The upstream's instance, sent once it is known and when it has changed.
     Upstream(UpstreamInstance),
-    /// Inner addresses of entries, as the agent knows them.
+    /// Addresses of entries for agents and peers, as the agent knows them.
     Entries {
-        /// It is connected to them now.
+        /// Entries that the agent is connected to.
         connected: Vec<SocketAddr>,
-        /// Its entries have told it of them.
+        /// Entries that those entries have told the agent of.
         named: Vec<SocketAddr>,
     },
-    /// The most of each that an upstream of the agent's pool has, as its entries told.
+    /// Largest amount of each resource that any upstream of the agent's pool has, as reported
+    /// by the agent's entries.
     LargestCapacity(Resources),
-    /// The agent means to end this connection: nothing more is to be placed over it.
+    /// The agent is about to close this connection: the entry must place nothing more on it.
     Unlink,
-    /// The agent holds this configuration, which the entry lacks.
+    /// A newer configuration than the entry holds.
     Configuration(ConfigurationCopy),
-    /// Evacuations as the agent knows them, which the entry lacks.
+    /// Evacuations as the agent knows them, newer than those of the entry.
     Evacuations(Evacuations),
-    /// Highest revision of a configuration that the agent holds.
+    /// Revision of the configuration that the agent holds.
     ConfigurationRevision {
         /// The revision.
         revision: u64,
     },
-    /// Tasks under which the upstream crashed, and suspects that other entries told of, as
-    /// this one was not told yet. Reports of such ends follow.
+    /// Tasks that ran when the upstream crashed, and suspect tasks reported by other entries,
+    /// as far as this entry has not been told yet. The reports of those runs follow.
     Crashes(Vec<TaskCrashes>),
-    /// The upstream says that it is slow after its start, or not any more.
+    /// The upstream reports that it is slow after its start, or no longer slow.
     Cold {
-        /// Milliseconds from sending until it is as fast as others; 0 now.
+        /// Time until it reaches full speed, in milliseconds from sending; 0 if it has.
         left_ms: u32,
     },
 }
@@ -484,50 +491,51 @@
 /// From an entry to an agent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ToRunsAgent {
-    /// First message of a connection, after the agent's.
+    /// First message of the entry on a connection, in reply to [`RunsHello`].
     Welcome {
-        /// This run of the entry.
+        /// Incarnation of the entry.
         entry: Incarnation,
-        /// The upstream's last known life, if the entry knows one.
+        /// The upstream's last instance, if the entry knows one.
         upstream: Option<UpstreamInstance>,
     },
-    /// Addresses of all entries known, for agents to dial.
+    /// Addresses of all known entries, for the agent to connect to.
     Members(Vec<SocketAddr>),
     /// Start these tasks.
     Place(StepPlacement),
-    /// Start nothing more of the job, and stop what runs of it.
+    /// Start no more tasks of the job, and stop its active runs.
     Stop(CallerJobId),
-    /// Hand these tasks back if they wait still.
+    /// Hand these tasks back if they have not started.
     Withdraw(Vec<TaskKey>),
-    /// Most tasks of the job have begun: those that wait go before others of their
-    /// priority, also when they are late.
+    /// Most tasks of the job have started. The agent starts those that wait before others of
+    /// their priority, also when they are late.
     JobMostlyStarted {
         /// The job.
         job: CallerJobId,
-        /// Milliseconds from sending after which nobody waits for it.
+        /// Time until the job's caller gives up, in milliseconds from sending.
         give_up_in_ms: u32,
     },
-    /// Heartbeat, with what was heard.
+    /// Heartbeat, which confirms what the entry has received.
     Heartbeat {
-        /// Messages heard from the agent on this connection.
+        /// Number of messages received from the agent on this connection.
         heard: u64,
-        /// All reports up to this number are taken note of.
+        /// The entry has processed all reports up to this number.
         confirmed: u64,
-        /// Agents of the agent's pool that the entry has.
+        /// Number of agents of this agent's pool that are connected to the entry.
         agents: u32,
-        /// The most of each that an upstream of that pool has, as the entry knows.
+        /// Largest amount of each resource that any upstream of that pool has, as the entry
+        /// knows.
         largest: Resources,
     },
-    /// The answer to [`FromRunsAgent::Unlink`]: no placement follows. The agent ends the
-    /// connection once nothing of the entry is left.
+    /// Reply to [`FromRunsAgent::Unlink`]: no placement follows. The agent closes the
+    /// connection once it holds no run of the entry.
     Unlinked,
     /// A newer configuration than the agent holds.
     Configuration(ConfigurationCopy),
-    /// Evacuations as the entry knows them, which the agent lacks.
+    /// Evacuations as the entry knows them, newer than those of the agent.
     Evacuations(Evacuations),
-    /// The entry holds an older configuration than the agent: send it.
+    /// The entry holds an older configuration than the agent and asks for the agent's.
     RequestConfiguration,
-    /// Tasks under which upstreams of several agents crashed: to be told to other entries,
-    /// which may be handed their jobs in again.
+    /// Tasks that ran when upstreams of several agents crashed. The agent passes them on to
+    /// its other entries, where callers may submit the jobs again.
     Crashes(Vec<TaskCrashes>),
 }
--- a/crates/wire/src/session.rs
+++ b/crates/wire/src/session.rs
@@ -1,6 +1,6 @@
-//! QUIC sessions: mutually authenticated, one request and one reply a stream.
+//! QUIC sessions with mutual authentication. Each stream carries one request and one reply.
 //!
-//! 0-RTT is off: a replayed first flight could carry a placement twice.
+//! 0-RTT is disabled, because a replayed first packet could deliver a placement twice.
 
 use {
     crate::{
@@ -20,29 +20,30 @@
 };
 
 const ALPN: &[u8] = b"sycamorerail/1";
-/// Streams that a peer may have open at once, unless [`allow_streams`] says
-/// more. The library keeps some 90 bytes for each that is allowed, used or not.
+/// Streams that a peer may have open at once, unless [`allow_streams`] sets another limit.
+/// The QUIC library keeps about 90 bytes for each allowed stream, used or not.
 const MAX_STREAMS: u32 = 64;
-/// Streams for placements that an agent allows an entry.
+/// Concurrent streams that an agent allows an entry, for placements.
 pub const PLACEMENT_STREAMS: u32 = 1_024;
-/// Streams for forwarded calls that an entry allows another.
+/// Concurrent streams that an entry allows another entry, for forwarded calls.
 pub const FORWARD_STREAMS: u32 = 4_096;
 
-/// Separates the derived keys of resets from other uses of the private key.
+/// Key derivation context that separates the reset keys from other uses of the private key.
 const RESET_CONTEXT: &str = "sycamorerail 2026-12 stateless reset";
-/// Sessions of more than a thousand agents are reset within some seconds.
+/// Short enough that the sessions of more than a thousand agents are reset within seconds.
 const MIN_RESET_INTERVAL: Duration = Duration::from_millis(1);
 
-/// Application error code with which an agent closes its sessions after a
-/// planned stop that cut off nothing.
+/// Application error code with which an agent closes its sessions after a planned stop that
+/// interrupted no task.
 pub const CLOSE_DRAINED: u32 = 1;
 
-/// Timing of sessions.
+/// Timeouts of sessions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SessionTiming {
-    /// A session with no packet for this long is dead.
+    /// Time without a packet after which a session counts as broken, in milliseconds.
     pub idle_timeout_ms: u32,
-    /// An idle session sends a packet this often. It is control traffic.
+    /// Interval at which an idle session sends a packet, in milliseconds. These packets count
+    /// as control traffic.
     pub keep_alive_ms: u32,
 }
 
@@ -52,22 +53,22 @@
     }
 }
 
-/// What went wrong on a session.
+/// Failure of a session.
 #[derive(Debug)]
 pub enum SessionError {
-    /// The endpoint could not be opened on this address.
+    /// The endpoint could not be opened on the address.
     Open(SocketAddr, io::Error),
-    /// The keys were refused.
+    /// The keys were rejected.
     Keys(KeyError),
-    /// No connection could be made; nothing was sent.
+    /// No connection could be made, so the request was not sent.
     Connect(SocketAddr, String),
-    /// The peer's certificate does not prove the role asked for.
+    /// The peer's certificate does not prove the expected role.
     Role(SocketAddr),
     /// The connection ended before a reply; the request may have arrived.
     Broken(SocketAddr, String),
     /// No reply came in time; the request may have arrived.
     Timeout(SocketAddr),
-    /// The peer's bytes are no message.
+    /// A message could not be encoded, or the peer's bytes could not be decoded.
     Codec(SocketAddr, CodecError),
 }
 
@@ -85,7 +86,9 @@
             Self::Open(addr, err) => write!(f, "cannot open {addr}: {err}"),
             Self::Keys(err) => err.fmt(f),
             Self::Connect(peer, why) => write!(f, "cannot connect to {peer}: {why}"),
-            Self::Role(peer) => write!(f, "{peer} does not prove the role expected of it"),
+            Self::Role(peer) => {
+                write!(f, "the certificate of {peer} does not prove the expected role")
+            }
             Self::Broken(peer, why) => write!(f, "connection to {peer} broke: {why}"),
             Self::Timeout(peer) => write!(f, "no reply from {peer} in time"),
             Self::Codec(peer, err) => write!(f, "from {peer}: {err}"),
@@ -111,7 +114,7 @@
 ///
 /// # Errors
 ///
-/// When the address is taken or the keys are refused.
+/// When the address is in use or the keys are rejected.
 pub fn open(
     listen: SocketAddr,
     keys: &ProcessKeys,
@@ -132,9 +135,9 @@
     Ok(endpoint)
 }
 
-/// Has a process that is started again end the sessions of the run before it at
-/// their next packet, by stateless resets (RFC 9000, section 10.3): the keys of
-/// resets and of connection ids follow from the private key and the address.
+/// Lets a restarted process end the sessions of its previous run at their next packet, by
+/// stateless resets (RFC 9000, section 10.3). To this end the keys for resets and connection
+/// ids are derived from the private key and the address.
 fn endpoint_config(bound: SocketAddr, keys: &ProcessKeys) -> EndpointConfig {
     let mut hasher = blake3::Hasher::new_derive_key(RESET_CONTEXT);
     hasher.update(keys.key.secret_der());
@@ -190,11 +193,11 @@
     Ok(ClientConfig::new(Arc::new(quic)))
 }
 
-/// Connects to an entry or agent and checks its role by its certificate.
+/// Connects to an entry or agent, whose certificate must prove `role`.
 ///
 /// # Errors
 ///
-/// When the peer cannot be reached in time or is not what it should be.
+/// When the peer cannot be reached in time or does not prove the role.
 pub async fn connect(
     endpoint: &Endpoint,
     peer: SocketAddr,
@@ -211,12 +214,12 @@
     }
 }
 
-/// Lets the peer have this many streams open at once. More than that wait.
+/// Sets how many streams the peer may have open at once. Further ones wait.
 pub fn allow_streams(connection: &Connection, count: u32) {
     connection.set_max_concurrent_bi_streams(VarInt::from_u32(count));
 }
 
-/// The role that an accepted connection's certificate proves, if any.
+/// The role that the peer's certificate on an accepted connection proves, if any.
 #[must_use]
 pub fn peer_role(connection: &Connection) -> Option<Role> {
     let identity = connection.peer_identity()?;
@@ -225,9 +228,9 @@
     [Role::Entry, Role::Agent].into_iter().find(|&role| proves_role(certificate, role))
 }
 
-/// Whether the peer, an agent, closed the connection with [`CLOSE_DRAINED`]:
-/// a task first placed over this connection and without a reply was not
-/// started there, and never will be.
+/// Whether the peer, an agent, closed the connection with [`CLOSE_DRAINED`]. If it did, a task
+/// whose first placement went over this connection and got no reply has not been started
+/// there and never will be.
 #[must_use]
 pub fn peer_drained(connection: &Connection) -> bool {
     let drained = VarInt::from_u32(CLOSE_DRAINED);
@@ -241,8 +244,8 @@
 ///
 /// # Errors
 ///
-/// When the connection ends, the time runs out, or the reply is malformed.
-/// All but [`SessionError::nothing_sent`] leave open whether it arrived.
+/// When the connection ends, the time runs out, or the reply is malformed. Unless
+/// [`SessionError::nothing_sent`] holds, the request may have arrived.
 pub async fn call<Q: Serialize, R: DeserializeOwned>(
     connection: &Connection,
     request: &Q,
@@ -269,11 +272,11 @@
     codec::decode(&reply).map_err(|err| SessionError::Codec(peer, err))
 }
 
-/// Reads the one request of an accepted stream.
+/// Reads the request of an accepted stream.
 ///
 /// # Errors
 ///
-/// When the connection ends first or the bytes are no message.
+/// When the connection ends first, or the bytes are not a message.
 pub async fn read_request<Q: DeserializeOwned>(
     peer: SocketAddr,
     recv: &mut RecvStream,
@@ -285,7 +288,7 @@
     codec::decode(&bytes).map_err(|err| SessionError::Codec(peer, err))
 }
 
-/// Writes the one reply of an accepted stream.
+/// Writes the reply of an accepted stream.
 ///
 /// # Errors
 ///
--- a/crates/wire/tests/codec.rs
+++ b/crates/wire/tests/codec.rs
@@ -1,4 +1,4 @@
-//! Codec: messages survive the trip, other bytes are refused without a panic.
+//! Codec: messages decode to what was encoded, and other bytes are rejected without a panic.
 
 use {
     proptest::prelude::*,
@@ -10,7 +10,7 @@
     },
 };
 
-fn task(index: u16, attempt: u8) -> TaskId {
+fn task_id(index: u16, attempt: u8) -> TaskId {
     let home = "10.0.0.1:9100".parse().unwrap();
     let organisation = OrganisationKey::of("alpenfunk");
     let job = JobId::mint(&IdKey::derive("k"), home, Incarnation(7), 1, 2, organisation);
@@ -22,7 +22,7 @@
     fn placement_round_trip(index in 0u16..170, attempt: u8, payload in ".{0,200}", end: u32) {
         let placement = Placement {
             agent: Incarnation(9),
-            task: task(index, attempt),
+            task: task_id(index, attempt),
             task_count: 170,
             content: ContentHash::of(payload.as_bytes()),
             organisation: "alpenfunk".to_owned(),
@@ -55,18 +55,18 @@
     }
 
     #[test]
-    fn foreign_bytes(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
-        // Whatever is accepted must be exactly one message.
+    fn arbitrary_bytes_never_panic(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
+        // Bytes that decode must be exactly one message, which encodes and decodes again.
         if let Ok(message) = codec::decode::<ToEntry>(&bytes) {
-            let again = codec::encode(&message).unwrap();
-            prop_assert_eq!(codec::decode::<ToEntry>(&again).unwrap(), message);
+            let encoded = codec::encode(&message).unwrap();
+            prop_assert_eq!(codec::decode::<ToEntry>(&encoded).unwrap(), message);
         }
         let _ = codec::decode::<ToAgent>(&bytes);
         let _ = codec::decode::<AgentReply>(&bytes);
     }
 
     #[test]
-    fn trailing_bytes(extra in prop::collection::vec(any::<u8>(), 1..9)) {
+    fn trailing_bytes_are_rejected(extra in prop::collection::vec(any::<u8>(), 1..9)) {
         let mut bytes = codec::encode(&ToEntry::Status).unwrap();
         bytes.extend(extra);
         prop_assert!(codec::decode::<ToEntry>(&bytes).is_err());
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn reason_names() {
+fn reason_names_are_unique_and_match_json() {
     let mut names: Vec<_> = Reason::ALL.iter().map(|reason| reason.name()).collect();
     names.sort_unstable();
     names.dedup();
--- a/crates/wire/tests/session.rs
+++ b/crates/wire/tests/session.rs
@@ -1,4 +1,5 @@
-//! Sessions: both ends prove their role, one reply a request.
+//! Sessions: both ends must prove their role, a request gets one reply, and a restarted peer
+//! resets old sessions.
 
 use {
     rand::Rng,
@@ -12,9 +13,9 @@
     tokio::runtime::Runtime,
 };
 
-const WITHIN: Duration = Duration::from_secs(5);
+const TIMEOUT: Duration = Duration::from_secs(5);
 
-fn endpoint(authority: &PemPair, role: Role) -> quinn::Endpoint {
+fn open_with_new_key(authority: &PemPair, role: Role) -> quinn::Endpoint {
     let own = issue_certificate(authority, role, "test").unwrap();
     open_at("127.0.0.1:0".parse().unwrap(), authority, &own)
 }
@@ -42,45 +43,45 @@
 }
 
 #[tokio::test]
-async fn reply_arrives() {
+async fn request_gets_reply() {
     let authority = generate_authority("test").unwrap();
-    let server = endpoint(&authority, Role::Entry);
+    let server = open_with_new_key(&authority, Role::Entry);
     let address = server.local_addr().unwrap();
     let incarnation = Incarnation(rand::rng().random());
     let serving = tokio::spawn(answer_one(server, incarnation));
-    let client = endpoint(&authority, Role::Agent);
-    let connection = session::connect(&client, address, Role::Entry, WITHIN).await.unwrap();
-    let reply: EntryReply = session::call(&connection, &ToEntry::Status, WITHIN).await.unwrap();
+    let client = open_with_new_key(&authority, Role::Agent);
+    let connection = session::connect(&client, address, Role::Entry, TIMEOUT).await.unwrap();
+    let reply: EntryReply = session::call(&connection, &ToEntry::Status, TIMEOUT).await.unwrap();
     assert_eq!(reply.entry, incarnation);
     connection.close(0u32.into(), b"done");
     assert_eq!(serving.await.unwrap(), Some(Role::Agent));
 }
 
 #[tokio::test]
-async fn wrong_role() {
+async fn wrong_role_is_refused() {
     let authority = generate_authority("test").unwrap();
-    let server = endpoint(&authority, Role::Agent);
+    let server = open_with_new_key(&authority, Role::Agent);
     let address = server.local_addr().unwrap();
     let _serving = tokio::spawn(answer_one(server, Incarnation(1)));
-    let client = endpoint(&authority, Role::Agent);
-    let refused = session::connect(&client, address, Role::Entry, WITHIN).await.unwrap_err();
+    let client = open_with_new_key(&authority, Role::Agent);
+    let refused = session::connect(&client, address, Role::Entry, TIMEOUT).await.unwrap_err();
     assert!(refused.nothing_sent(), "{refused}");
 }
 
 #[tokio::test]
-async fn other_cluster() {
-    let server = endpoint(&generate_authority("ours").unwrap(), Role::Entry);
+async fn other_cluster_is_refused() {
+    let server = open_with_new_key(&generate_authority("ours").unwrap(), Role::Entry);
     let address = server.local_addr().unwrap();
     let serving = tokio::spawn(answer_one(server, Incarnation(1)));
-    let client = endpoint(&generate_authority("theirs").unwrap(), Role::Agent);
-    let refused = session::connect(&client, address, Role::Entry, WITHIN).await.unwrap_err();
+    let client = open_with_new_key(&generate_authority("theirs").unwrap(), Role::Agent);
+    let refused = session::connect(&client, address, Role::Entry, TIMEOUT).await.unwrap_err();
     assert!(refused.nothing_sent(), "{refused}");
     assert_eq!(serving.await.unwrap(), None);
 }
 
-/// A server that accepts one connection and dies with its runtime, so that it
-/// sends no word of its end.
-fn dies_with_one_connection(authority: PemPair, own: PemPair) -> (SocketAddr, DeadOnDrop) {
+/// Starts a server that accepts one connection. Its runtime is shut down when the returned value
+/// is dropped, so that the server does not close the connection.
+fn start_killable_server(authority: PemPair, own: PemPair) -> (SocketAddr, KilledOnDrop) {
     let runtime = Runtime::new().unwrap();
     let server = {
         let _inside = runtime.enter();
@@ -91,12 +92,12 @@
         let connection = server.accept().await.unwrap().await.unwrap();
         connection.closed().await;
     });
-    (address, DeadOnDrop(Some(runtime)))
+    (address, KilledOnDrop(Some(runtime)))
 }
 
-struct DeadOnDrop(Option<Runtime>);
+struct KilledOnDrop(Option<Runtime>);
 
-impl Drop for DeadOnDrop {
+impl Drop for KilledOnDrop {
     fn drop(&mut self) {
         if let Some(runtime) = self.0.take() {
             runtime.shutdown_background();
@@ -105,25 +106,29 @@
 }
 
 #[tokio::test]
-async fn restart_resets() {
+async fn restarted_server_resets_sessions() {
     let authority = generate_authority("test").unwrap();
     let own = issue_certificate(&authority, Role::Entry, "test").unwrap();
-    let (address, server) = dies_with_one_connection(authority.clone(), own.clone());
-    let client = endpoint(&authority, Role::Agent);
-    let connection = session::connect(&client, address, Role::Entry, WITHIN).await.unwrap();
+    let (address, server) = start_killable_server(authority.clone(), own.clone());
+    let client = open_with_new_key(&authority, Role::Agent);
+    let connection = session::connect(&client, address, Role::Entry, TIMEOUT).await.unwrap();
     drop(server);
 
     let keys = ProcessKeys::read(&authority.certificate_pem, &own).unwrap();
-    let next = loop {
-        // Its socket is closed a moment later.
+    let restarted = loop {
+        // The old server's socket is closed shortly after its runtime is shut down.
         match session::open(address, &keys, SessionTiming::default()) {
-            Ok(next) => break next,
+            Ok(endpoint) => break endpoint,
             Err(SessionError::Open(..)) => tokio::time::sleep(Duration::from_millis(5)).await,
             Err(err) => panic!("{err}"),
         }
     };
-    let _accepting = tokio::spawn(async move { next.accept().await.is_some() });
-    session::call::<_, EntryReply>(&connection, &ToEntry::Status, WITHIN).await.unwrap_err();
+    let _accepting = tokio::spawn(async move { restarted.accept().await.is_some() });
+    session::call::<_, EntryReply>(&connection, &ToEntry::Status, TIMEOUT).await.unwrap_err();
     let ended = connection.close_reason();
-    assert_eq!(ended, Some(quinn::ConnectionError::Reset), "not by a timeout");
+    assert_eq!(
+        ended,
+        Some(quinn::ConnectionError::Reset),
+        "the session must end by a reset, not by a timeout"
+    );
 }
