--- a/crates/agent/src/announced.rs
+++ b/crates/agent/src/announced_upstream.rs
@@ -1,29 +1,29 @@
-//! What an agent knows of its upstream.
+//! The upstream as it announced itself to the agent.
 
 use {
     std::sync::atomic::{AtomicU64, Ordering},
     sycamorerail_wire::message::UpstreamInfo,
 };
 
-/// What the upstream announced.
+/// Announced upstream, with the time of its last announcement.
 #[derive(Debug)]
-pub(crate) struct Announced {
+pub(crate) struct AnnouncedUpstream {
     pub(crate) info: UpstreamInfo,
     pub(crate) base_url: reqwest::Url,
     renewed_at_ms: AtomicU64,
 }
 
-impl Announced {
+impl AnnouncedUpstream {
     pub(crate) fn new(info: UpstreamInfo, base_url: reqwest::Url) -> Self {
         Self { info, base_url, renewed_at_ms: AtomicU64::new(0) }
     }
 
-    /// Notes that it was announced again.
+    /// Records a repeated announcement, which renews the lease.
     pub(crate) fn renew(&self, now_ms: u64) {
         self.renewed_at_ms.store(now_ms, Ordering::Release);
     }
 
-    /// When it was announced last.
+    /// Returns the time of the last announcement by the agent's clock.
     pub(crate) fn renewed_at_ms(&self) -> u64 {
         self.renewed_at_ms.load(Ordering::Acquire)
     }
--- a/crates/agent/src/call.rs
+++ b/crates/agent/src/call.rs
@@ -1,13 +1,13 @@
-//! The call to the upstream, once a task.
+//! The HTTP call to the upstream, made at most once per task.
 //!
-//! No layer repeats it. The client follows no redirects, its retries are off,
-//! and it keeps no idle connections: the HTTP library sends a request again
-//! only where a reused connection closed under it, and here none is reused.
+//! No layer repeats the call. The client follows no redirects and has its retries off. It
+//! keeps no idle connections, because the HTTP library resends a request if a reused
+//! connection was closed.
 
 use {
     crate::{
-        announced::Announced,
-        core::{BeginCall, Core},
+        announced_upstream::AnnouncedUpstream,
+        core::{Core, SpawnCall},
         counters,
     },
     reqwest::{Client, RequestBuilder, Response, StatusCode, Url, header::CONTENT_TYPE, redirect},
@@ -24,28 +24,28 @@
     },
 };
 
-/// Largest result taken from an upstream.
+/// Largest result that the agent accepts from an upstream.
 pub(crate) const MAX_RESULT_BYTES: usize = 4 * 1024 * 1024;
 
 const TASK_HEADER: &str = "sycamorerail-task";
 const ORGANISATION_HEADER: &str = "sycamorerail-organisation";
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 const MAX_DETAIL_CHARS: usize = 200;
-const MAX_ERROR_BYTES: usize = 4 * MAX_DETAIL_CHARS;
+const MAX_ERROR_BODY_BYTES: usize = 4 * MAX_DETAIL_CHARS;
 
-/// What came of a call.
+/// Outcome of an upstream call.
 #[derive(Debug)]
-enum Called {
+enum CallOutcome {
     /// Nothing was sent to the upstream.
     NotSent(Reason),
     Ended(TaskEnd),
     Broken(Reason),
 }
 
-/// The HTTP client of an agent.
-pub(crate) struct Caller(Client);
+/// HTTP client for upstream calls.
+pub(crate) struct UpstreamCaller(Client);
 
-impl Caller {
+impl UpstreamCaller {
     pub(crate) fn new() -> reqwest::Result<Self> {
         Client::builder()
             .http1_only()
@@ -59,40 +59,44 @@
             .map(Self)
     }
 
-    /// Runs the tasks that the gate tells to start, with this client.
-    pub(crate) fn begin_call(self) -> BeginCall {
+    /// Returns the function that spawns upstream calls with this client.
+    pub(crate) fn into_spawn_call(self) -> SpawnCall {
         let caller = Arc::new(self);
         Box::new(move |core, start| {
-            tokio::spawn(run(Arc::clone(&caller), core, start)).abort_handle()
+            tokio::spawn(run_task(Arc::clone(&caller), core, start)).abort_handle()
         })
     }
 }
 
-/// Runs a task that the gate told to start, and records what came of it.
-async fn run(caller: Arc<Caller>, core: Arc<Core>, start: Start) {
+/// Calls the upstream for a task that the gate has started, and records the outcome.
+async fn run_task(caller: Arc<UpstreamCaller>, core: Arc<Core>, start: Start) {
     let Start { placement, end_by_ms, .. } = start;
     let task = placement.task;
-    let Some(request) = prepare(&caller, &core, placement) else {
-        return core.not_started(task, Reason::Invalid);
+    let Some(request) = build_request(&caller, &core, placement) else {
+        return core.record_not_started(task, Reason::Invalid);
     };
-    if !core.go(task) {
+    if !core.begin_upstream_call(task) {
         return;
     }
-    counters::start();
+    counters::upstream_call();
     let began = Instant::now();
-    let left = Duration::from_millis(end_by_ms.saturating_sub(core.clock.now_ms()));
-    let called = tokio::time::timeout(left, call(request))
+    let time_left = Duration::from_millis(end_by_ms.saturating_sub(core.clock.now_ms()));
+    let outcome = tokio::time::timeout(time_left, call(request))
         .await
-        .unwrap_or(Called::Broken(Reason::UpstreamTimeout));
+        .unwrap_or(CallOutcome::Broken(Reason::UpstreamTimeout));
     let run_us = u64::try_from(began.elapsed().as_micros()).unwrap_or(u64::MAX);
-    match called {
-        Called::NotSent(reason) => core.not_started(task, reason),
-        Called::Ended(end) => core.ended(task, end, run_us),
-        Called::Broken(reason) => core.broken(task, reason),
+    match outcome {
+        CallOutcome::NotSent(reason) => core.record_not_started(task, reason),
+        CallOutcome::Ended(end) => core.record_ended(task, end, run_us),
+        CallOutcome::Broken(reason) => core.record_broken(task, reason),
     }
 }
 
-fn prepare(caller: &Caller, core: &Core, placement: Placement) -> Option<RequestBuilder> {
+fn build_request(
+    caller: &UpstreamCaller,
+    core: &Core,
+    placement: Placement,
+) -> Option<RequestBuilder> {
     let upstream = core.upstream.load_full()?;
     let url = task_url(&upstream, &placement.kind)?;
     let request = caller
@@ -102,14 +106,15 @@
         .header(ORGANISATION_HEADER, placement.organisation)
         .header(CONTENT_TYPE, "application/json")
         .body(placement.payload.0);
-    // A builder with a fault, such as a name that is no header value, is found
-    // here rather than after the task counts as begun.
+    // Detects an invalid request, such as an organisation that is no valid header value, before
+    // the task counts as begun.
     request.try_clone()?.build().ok()?;
     Some(request)
 }
 
-/// The URL of a kind. A kind of dots would be taken for a step in the path.
-fn task_url(upstream: &Announced, kind: &str) -> Option<Url> {
+/// Builds the URL of a kind. Rejects `.` and `..`, which URLs resolve as relative path
+/// segments.
+fn task_url(upstream: &AnnouncedUpstream, kind: &str) -> Option<Url> {
     if matches!(kind, "" | "." | "..") {
         return None;
     }
@@ -118,42 +123,42 @@
     Some(url)
 }
 
-async fn call(request: RequestBuilder) -> Called {
+async fn call(request: RequestBuilder) -> CallOutcome {
     let response = match request.send().await {
         Ok(response) => response,
-        Err(err) => return failed_to_send(&err),
+        Err(err) => return send_failure(&err),
     };
     let status = response.status();
     if status == StatusCode::OK {
         read_result(response).await
     } else {
-        Called::Ended(read_failure(status, response).await)
+        CallOutcome::Ended(read_failure(status, response).await)
     }
 }
 
-fn failed_to_send(err: &reqwest::Error) -> Called {
+fn send_failure(err: &reqwest::Error) -> CallOutcome {
     event!(Warn, "upstream_call_failed", error = error_chain(err));
     if err.is_connect() {
-        Called::NotSent(Reason::UpstreamUnreachable)
+        CallOutcome::NotSent(Reason::UpstreamUnreachable)
     } else {
-        Called::Broken(Reason::UpstreamBroken)
+        CallOutcome::Broken(Reason::UpstreamBroken)
     }
 }
 
-async fn read_result(response: Response) -> Called {
+async fn read_result(response: Response) -> CallOutcome {
     match read_body(response, MAX_RESULT_BYTES).await {
         Ok(body) if body.len() > MAX_RESULT_BYTES => {
-            Called::Ended(failure(Reason::TooLarge, "the result is larger than 4 MiB"))
+            CallOutcome::Ended(failure(Reason::TooLarge, "the result is larger than 4 MiB"))
         }
-        Ok(body) => Called::Ended(as_result(body)),
+        Ok(body) => CallOutcome::Ended(parse_result(body)),
         Err(err) => {
             event!(Warn, "upstream_call_failed", error = error_chain(&err));
-            Called::Broken(Reason::UpstreamBroken)
+            CallOutcome::Broken(Reason::UpstreamBroken)
         }
     }
 }
 
-fn as_result(body: Vec<u8>) -> TaskEnd {
+fn parse_result(body: Vec<u8>) -> TaskEnd {
     match String::from_utf8(body) {
         Ok(text) if serde_json::from_str::<IgnoredAny>(&text).is_ok() => {
             TaskEnd::Finished(Payload(text))
@@ -162,9 +167,10 @@
     }
 }
 
-/// The upstream has answered: that its text cannot be read changes nothing.
+/// Builds the failure for an error status. An unreadable body is ignored, because the status
+/// alone shows that the task has failed.
 async fn read_failure(status: StatusCode, response: Response) -> TaskEnd {
-    let body = read_body(response, MAX_ERROR_BYTES).await.unwrap_or_default();
+    let body = read_body(response, MAX_ERROR_BODY_BYTES).await.unwrap_or_default();
     let text = String::from_utf8_lossy(&body);
     failure(Reason::TaskFailed, &format!("status {}: {}", status.as_u16(), text.trim()))
 }
@@ -173,7 +179,7 @@
     TaskEnd::Failed { reason, detail: detail.chars().take(MAX_DETAIL_CHARS).collect() }
 }
 
-/// Reads a body, at most a chunk beyond `limit_bytes`.
+/// Reads a body and stops after the first chunk that exceeds `limit_bytes`.
 async fn read_body(mut response: Response, limit_bytes: usize) -> reqwest::Result<Vec<u8>> {
     let mut body = Vec::new();
     while let Some(chunk) = response.chunk().await? {
--- a/crates/agent/src/core.rs
+++ b/crates/agent/src/core.rs
@@ -1,7 +1,7 @@
-//! State shared by all threads of an agent, and what is done to it.
+//! State that all threads of an agent share, and the operations on it.
 
 use {
-    crate::{announced::Announced, counters, evacuation, tasks::Tasks},
+    crate::{announced_upstream::AnnouncedUpstream, counters, evacuation, tasks::Tasks},
     arc_swap::ArcSwapOption,
     parking_lot::Mutex,
     std::sync::{
@@ -31,43 +31,43 @@
     },
 };
 
-/// A start this long after the upstream announced leaving breaks I6.
-const LEAVE_BOUND_MS: u64 = 2_000;
+/// A start this long after the upstream began to leave violates invariant I6.
+const MAX_START_AFTER_LEAVING_MS: u64 = 2_000;
 
-/// A reply that is known, or that a task in flight will give.
-pub(crate) enum Pending {
-    Now(AgentReplyBody),
-    Later(oneshot::Receiver<AgentReplyBody>),
-    /// As [`Self::Later`], for a task that is dropped unless it starts in time.
+/// A reply that is ready, or that a task in flight will send.
+pub(crate) enum PendingReply {
+    Ready(AgentReplyBody),
+    InFlight(oneshot::Receiver<AgentReplyBody>),
+    /// Like [`Self::InFlight`], for a task that is dropped unless it starts in time.
     Queued {
-        told: oneshot::Receiver<AgentReplyBody>,
+        reply: oneshot::Receiver<AgentReplyBody>,
         start_within: Duration,
     },
 }
 
-/// Begins the upstream call of a task that the gate told to start.
-pub(crate) type BeginCall = Box<dyn Fn(Arc<Core>, Start) -> AbortHandle + Send + Sync>;
+/// Spawns the upstream call of a task that the gate has started.
+pub(crate) type SpawnCall = Box<dyn Fn(Arc<Core>, Start) -> AbortHandle + Send + Sync>;
 
 pub(crate) struct Core {
     pub(crate) settings: AgentSettings,
     pub(crate) identity: AgentIdentity,
     pub(crate) clock: Clock,
-    pub(crate) upstream: ArcSwapOption<Announced>,
-    /// Grows with each change that the entries must be told of.
+    pub(crate) upstream: ArcSwapOption<AnnouncedUpstream>,
+    /// Counts the changes that entries must learn through another hello.
     pub(crate) changes: watch::Sender<u64>,
-    /// Evacuated data centres in force, to pass on.
+    /// Evacuations in force, which the agent passes on to entries.
     pub(crate) evacuations: watch::Sender<Evacuations>,
-    /// Streams whose request was read and whose reply is not delivered.
+    /// Number of streams whose request was read and whose reply is not delivered.
     pub(crate) replies_due: AtomicUsize,
-    /// When an entry was last asked for the list of entries.
-    asked_at_ms: AtomicU64,
-    /// When a placement last came, or a reply was last lost.
-    active_at_ms: AtomicU64,
-    begin_call: BeginCall,
+    /// When the agent last asked an entry for the list of entries.
+    members_requested_at_ms: AtomicU64,
+    /// When the last placement arrived or the last reply was lost.
+    last_activity_ms: AtomicU64,
+    spawn_call: SpawnCall,
     tasks: Mutex<Tasks>,
     config_mark: AtomicU64,
     load_sequence: AtomicU64,
-    left_at_ms: AtomicU64,
+    leaving_since_ms: AtomicU64,
     draining: AtomicBool,
 }
 
@@ -75,7 +75,7 @@
     pub(crate) fn new(
         settings: AgentSettings,
         identity: AgentIdentity,
-        begin_call: BeginCall,
+        spawn_call: SpawnCall,
     ) -> Self {
         let limits = Limits {
             retention_ms: settings.retention_ms.into(),
@@ -92,165 +92,169 @@
             changes: watch::Sender::new(0),
             evacuations: watch::Sender::default(),
             replies_due: AtomicUsize::new(0),
-            asked_at_ms: AtomicU64::new(0),
-            active_at_ms: AtomicU64::new(0),
-            begin_call,
+            members_requested_at_ms: AtomicU64::new(0),
+            last_activity_ms: AtomicU64::new(0),
+            spawn_call,
             tasks: Mutex::new(Tasks::new(gate)),
             config_mark: AtomicU64::new(0),
             load_sequence: AtomicU64::new(0),
-            left_at_ms: AtomicU64::new(u64::MAX),
+            leaving_since_ms: AtomicU64::new(u64::MAX),
             draining: AtomicBool::new(false),
         }
     }
 
-    /// Does something to the tasks, then starts those for which slots are free.
-    fn change<T>(self: &Arc<Self>, act: impl FnOnce(&mut Tasks, u64) -> T) -> T {
+    /// Updates the tasks, then starts queued tasks while slots are free.
+    fn update_tasks<T>(self: &Arc<Self>, update: impl FnOnce(&mut Tasks, u64) -> T) -> T {
         let mut tasks = self.tasks.lock();
         let now_ms = self.clock.now_ms();
-        let done = act(&mut tasks, now_ms);
+        let done = update(&mut tasks, now_ms);
         let mut settled = Vec::new();
         while let Some(start) = tasks.gate.take_next(now_ms, &mut settled) {
-            self.begin(&mut tasks, start);
+            self.call_upstream(&mut tasks, start);
         }
-        tasks.tell_all(settled);
+        tasks.settle_all(settled);
         done
     }
 
-    fn begin(self: &Arc<Self>, tasks: &mut Tasks, start: Start) {
+    fn call_upstream(self: &Arc<Self>, tasks: &mut Tasks, start: Start) {
         let task = start.placement.task;
-        let call = (self.begin_call)(Arc::clone(self), start);
-        tasks.calling(task, call);
+        let call = (self.spawn_call)(Arc::clone(self), start);
+        tasks.set_call(task, call);
     }
 
-    /// Decides on a placement that came over a session.
+    /// Handles a placement received over a session.
     ///
-    /// `None` when the session is not current any more: the entry may have placed
-    /// the task anew over a later one, which this copy must not follow.
+    /// Returns `None` if the session is no longer current: the entry may have placed the task
+    /// again over a later session, and this copy must not be handled after that one.
     pub(crate) fn place(
         self: &Arc<Self>,
         is_current: impl Fn() -> bool,
         placement: Placement,
-    ) -> Option<Pending> {
+    ) -> Option<PendingReply> {
         self.raise_config_mark(placement.config_mark);
         self.note_activity();
         let task = placement.task;
-        self.change(|tasks, now_ms| {
+        self.update_tasks(|tasks, now_ms| {
             if !is_current() {
                 return None;
             }
-            let placed = tasks.gate.place(placement, now_ms);
-            counters::placed(&placed);
-            Some(match placed {
+            let outcome = tasks.gate.place(placement, now_ms);
+            counters::placement(&outcome);
+            Some(match outcome {
                 Placed::Start(start) => {
-                    self.begin(tasks, *start);
-                    Pending::Later(tasks.wait_for(task))
+                    self.call_upstream(tasks, *start);
+                    PendingReply::InFlight(tasks.wait_for(task))
                 }
-                Placed::Queued { start_by_ms } => Pending::Queued {
-                    told: tasks.wait_for(task),
+                Placed::Queued { start_by_ms } => PendingReply::Queued {
+                    reply: tasks.wait_for(task),
                     start_within: Duration::from_millis(start_by_ms.saturating_sub(now_ms)),
                 },
-                Placed::Joined => Pending::Later(tasks.wait_for(task)),
-                Placed::Known(reply) => Pending::Now(reply),
-                Placed::Refused(refusal) => Pending::Now(refusal.reply()),
+                Placed::Joined => PendingReply::InFlight(tasks.wait_for(task)),
+                Placed::Known(reply) => PendingReply::Ready(reply),
+                Placed::Refused(refusal) => PendingReply::Ready(refusal.reply()),
             })
         })
     }
 
-    /// Drops queued tasks and records whose time has passed.
+    /// Drops queued tasks whose start window has passed and records past their retention.
     pub(crate) fn expire(self: &Arc<Self>) {
-        self.change(|tasks, now_ms| {
+        self.update_tasks(|tasks, now_ms| {
             let settled = tasks.gate.expire(now_ms);
-            tasks.tell_all(settled);
+            tasks.settle_all(settled);
         });
     }
 
     pub(crate) fn revoke(self: &Arc<Self>, revoked: &[TaskId]) -> AgentReplyBody {
-        self.change(|tasks, now_ms| {
+        self.update_tasks(|tasks, now_ms| {
             let revoked = tasks.gate.revoke(revoked, now_ms);
-            revoked.aborted.iter().for_each(|task| tasks.abort(task));
-            tasks.tell_all(revoked.settled);
+            revoked.aborted.iter().for_each(|task| tasks.abort_call(task));
+            tasks.settle_all(revoked.settled);
             AgentReplyBody::Revoked(revoked.reports)
         })
     }
 
     pub(crate) fn fence(self: &Arc<Self>, home: Incarnation, jobs: &[JobId]) -> AgentReplyBody {
-        self.change(|tasks, _| {
+        self.update_tasks(|tasks, _| {
             let fenced = tasks.gate.fence(home, jobs);
-            tasks.tell_all(fenced.settled);
+            tasks.settle_all(fenced.settled);
             AgentReplyBody::Fenced(fenced.jobs)
         })
     }
 
-    /// Checks that the task's upstream call is its first, and that the upstream
-    /// is not leaving; then the call counts as begun.
-    pub(crate) fn go(self: &Arc<Self>, task: TaskId) -> bool {
-        let (go, now_ms) = self.change(|tasks, now_ms| (tasks.gate.go(task), now_ms));
-        let left_for_ms = now_ms.saturating_sub(self.left_at_ms.load(Ordering::Acquire));
+    /// Marks the upstream call of a task as begun. Returns whether the agent may make the call:
+    /// it must be the first one for the task, and the upstream must not be leaving.
+    pub(crate) fn begin_upstream_call(self: &Arc<Self>, task: TaskId) -> bool {
+        let (go, now_ms) = self.update_tasks(|tasks, now_ms| (tasks.gate.go(task), now_ms));
+        let leaving_for_ms = now_ms.saturating_sub(self.leaving_since_ms.load(Ordering::Acquire));
         go != Go::Withdrawn
             && invariant::check(Invariant::StartsOnce, go == Go::Call, &task)
-            && invariant::check(Invariant::NoWorkWhenLeaving, left_for_ms < LEAVE_BOUND_MS, &task)
+            && invariant::check(
+                Invariant::NoWorkWhenLeaving,
+                leaving_for_ms < MAX_START_AFTER_LEAVING_MS,
+                &task,
+            )
     }
 
-    pub(crate) fn ended(self: &Arc<Self>, task: TaskId, end: TaskEnd, run_us: u64) {
-        self.change(|tasks, now_ms| {
+    pub(crate) fn record_ended(self: &Arc<Self>, task: TaskId, end: TaskEnd, run_us: u64) {
+        self.update_tasks(|tasks, now_ms| {
             let settled = tasks.gate.ended(task, end, run_us, now_ms);
-            tasks.tell_all(settled.into_iter().collect());
+            tasks.settle_all(settled.into_iter().collect());
         });
     }
 
-    pub(crate) fn broken(self: &Arc<Self>, task: TaskId, reason: Reason) {
-        self.change(|tasks, now_ms| {
+    pub(crate) fn record_broken(self: &Arc<Self>, task: TaskId, reason: Reason) {
+        self.update_tasks(|tasks, now_ms| {
             let settled = tasks.gate.broken(task, reason, now_ms);
-            tasks.tell_all(settled.into_iter().collect());
+            tasks.settle_all(settled.into_iter().collect());
         });
     }
 
-    pub(crate) fn not_started(self: &Arc<Self>, task: TaskId, reason: Reason) {
-        self.change(|tasks, _| {
+    pub(crate) fn record_not_started(self: &Arc<Self>, task: TaskId, reason: Reason) {
+        self.update_tasks(|tasks, _| {
             let settled = tasks.gate.not_started(task, reason);
-            tasks.tell_all(settled.into_iter().collect());
+            tasks.settle_all(settled.into_iter().collect());
         });
     }
 
     pub(crate) fn set_upstream_state(self: &Arc<Self>, state: UpstreamState) {
         let now_ms = self.clock.now_ms();
-        let left_at_ms = if state == UpstreamState::Leaving { now_ms } else { u64::MAX };
-        self.left_at_ms.store(left_at_ms, Ordering::Release);
-        self.change(|tasks, _| {
+        let leaving_since_ms = if state == UpstreamState::Leaving { now_ms } else { u64::MAX };
+        self.leaving_since_ms.store(leaving_since_ms, Ordering::Release);
+        self.update_tasks(|tasks, _| {
             let settled = tasks.gate.set_upstream(state);
-            tasks.tell_all(settled);
+            tasks.settle_all(settled);
         });
-        self.tell_entries();
+        self.notify_entries();
     }
 
-    /// Puts evacuations into force that an entry told, unless those held were true later.
-    pub(crate) fn hold_evacuations(self: &Arc<Self>, told: &Evacuations) {
-        if !self.evacuations.send_if_modified(|held| held.merge_newer(told)) {
+    /// Applies evacuations received from an entry unless the known ones are newer.
+    pub(crate) fn apply_evacuations(self: &Arc<Self>, received: &Evacuations) {
+        if !self.evacuations.send_if_modified(|held| held.merge_newer(received)) {
             return;
         }
-        let own_evacuated = self.change(|tasks, _| {
-            // Of two that come at once the later one holds.
+        let own_evacuated = self.update_tasks(|tasks, _| {
+            // Reads the merged list: two updates may arrive at the same time, and the newer one wins.
             let evacuated = self.evacuations.borrow().contains(&self.identity.data_centre);
             let settled = tasks.gate.set_evacuated(evacuated);
-            tasks.tell_all(settled);
+            tasks.settle_all(settled);
             evacuated
         });
-        evacuation::log_in_force(told, own_evacuated);
+        evacuation::log_in_force(received, own_evacuated);
     }
 
-    /// Makes every session say hello again at once.
-    pub(crate) fn tell_entries(&self) {
+    /// Makes every session send another hello at once.
+    pub(crate) fn notify_entries(&self) {
         self.changes.send_modify(|changes| *changes += 1);
     }
 
-    /// Takes no new work from now on and drops what is queued.
+    /// Stops accepting tasks and drops the queued ones.
     pub(crate) fn drain(self: &Arc<Self>) {
         self.draining.store(true, Ordering::Release);
-        self.change(|tasks, _| {
+        self.update_tasks(|tasks, _| {
             let settled = tasks.gate.drain();
-            tasks.tell_all(settled);
+            tasks.settle_all(settled);
         });
-        self.tell_entries();
+        self.notify_entries();
     }
 
     pub(crate) fn is_draining(&self) -> bool {
@@ -265,8 +269,8 @@
         self.tasks.lock().gate.upstream()
     }
 
-    /// The load now. Its sequence is taken under the same lock as its counts,
-    /// so that a higher one is never older.
+    /// Returns the current load. The sequence number is taken under the same lock as the counts,
+    /// so that a load with a higher number is never older.
     pub(crate) fn load(&self) -> Load {
         let tasks = self.tasks.lock();
         let counts = tasks.gate.counts();
@@ -310,12 +314,11 @@
         self.config_mark.fetch_max(mark.0, Ordering::AcqRel);
     }
 
-    /// Takes what an entry tells of the cluster. Its fences are in force when
-    /// this returns.
-    pub(crate) fn welcomed(self: &Arc<Self>, welcome: &EntryWelcome) {
+    /// Applies an entry's welcome. Its fences are in force when this returns.
+    pub(crate) fn apply_welcome(self: &Arc<Self>, welcome: &EntryWelcome) {
         self.raise_config_mark(welcome.config_mark);
-        if let Some(told) = &welcome.evacuations {
-            self.hold_evacuations(told);
+        if let Some(evacuations) = &welcome.evacuations {
+            self.apply_evacuations(evacuations);
         }
         for &home in welcome.members.iter().flat_map(|members| &members.fenced) {
             if !self.tasks.lock().gate.is_fenced(home) {
@@ -325,30 +328,33 @@
         }
     }
 
-    /// When the list of entries must be asked for again.
-    pub(crate) fn ask_at_ms(&self) -> u64 {
-        self.asked_at_ms.load(Ordering::Acquire) + u64::from(self.settings.heartbeat_ms)
+    /// Returns when the agent must ask for the list of entries again.
+    pub(crate) fn members_request_due_ms(&self) -> u64 {
+        self.members_requested_at_ms.load(Ordering::Acquire) + u64::from(self.settings.heartbeat_ms)
     }
 
-    /// Whether the caller is the one session that asks for the list now.
-    pub(crate) fn takes_turn_to_ask(&self, now_ms: u64) -> bool {
-        let asked_at_ms = self.asked_at_ms.load(Ordering::Acquire);
-        let due = now_ms >= asked_at_ms + u64::from(self.settings.heartbeat_ms);
+    /// Returns whether the calling session is the one that must ask for the list now.
+    pub(crate) fn claim_members_request(&self, now_ms: u64) -> bool {
+        let requested_at_ms = self.members_requested_at_ms.load(Ordering::Acquire);
+        let due = now_ms >= requested_at_ms + u64::from(self.settings.heartbeat_ms);
         let (success, failure) = (Ordering::AcqRel, Ordering::Acquire);
-        due && self.asked_at_ms.compare_exchange(asked_at_ms, now_ms, success, failure).is_ok()
+        due && self
+            .members_requested_at_ms
+            .compare_exchange(requested_at_ms, now_ms, success, failure)
+            .is_ok()
     }
 
-    /// Notes that an entry is asked: every hello and heartbeat does.
-    pub(crate) fn asks(&self, now_ms: u64) {
-        self.asked_at_ms.fetch_max(now_ms, Ordering::AcqRel);
+    /// Records that an entry is asked for the list, as every hello and heartbeat does.
+    pub(crate) fn note_members_request(&self, now_ms: u64) {
+        self.members_requested_at_ms.fetch_max(now_ms, Ordering::AcqRel);
     }
 
-    /// Notes that an entry may still be about to send or ask something.
+    /// Records activity after which an entry may still send another request.
     pub(crate) fn note_activity(&self) {
-        self.active_at_ms.fetch_max(self.clock.now_ms(), Ordering::AcqRel);
+        self.last_activity_ms.fetch_max(self.clock.now_ms(), Ordering::AcqRel);
     }
 
     pub(crate) fn idle_ms(&self) -> u64 {
-        self.clock.now_ms().saturating_sub(self.active_at_ms.load(Ordering::Acquire))
+        self.clock.now_ms().saturating_sub(self.last_activity_ms.load(Ordering::Acquire))
     }
 }
--- a/crates/agent/src/counters.rs
+++ b/crates/agent/src/counters.rs
@@ -1,13 +1,13 @@
-//! Counters and gauges of an agent.
+//! Counters of an agent.
 
 use {
     sycamorerail_decide::gate::{Placed, Refusal},
     sycamorerail_wire::{answer::TaskEnd, message::AgentReplyBody},
 };
 
-/// Counts what became of a placement.
-pub(crate) fn placed(placed: &Placed) {
-    let result = match placed {
+/// Counts the outcome of a placement, and the reason of a refusal.
+pub(crate) fn placement(outcome: &Placed) {
+    let result = match outcome {
         Placed::Start(_) => "started",
         Placed::Queued { .. } => "queued",
         Placed::Joined => "joined",
@@ -22,12 +22,12 @@
 }
 
 /// Counts a call to the upstream.
-pub(crate) fn start() {
+pub(crate) fn upstream_call() {
     metrics::counter!("sycamorerail_agent_starts_total").increment(1);
 }
 
-/// Counts how an accepted task ended.
-pub(crate) fn end(reply: &AgentReplyBody) {
+/// Counts the end of an accepted task.
+pub(crate) fn task_end(reply: &AgentReplyBody) {
     let (result, reason) = match reply {
         AgentReplyBody::Ended { end: TaskEnd::Finished(_), .. } => ("finished", "done"),
         AgentReplyBody::Ended { end: TaskEnd::Failed { reason, .. }, .. } => {
@@ -44,21 +44,20 @@
         .increment(1);
 }
 
-/// Counts a message that serves no task: its request and its reply.
-pub(crate) fn control(message: &'static str, bytes: usize) {
+/// Counts a hello or heartbeat with the encoded bytes of request and reply.
+pub(crate) fn control_message(message: &'static str, bytes: usize) {
     metrics::counter!("sycamorerail_agent_control_messages_total", "message" => message)
         .increment(1);
     metrics::counter!("sycamorerail_agent_control_bytes_total", "message" => message)
         .increment(bytes as u64);
 }
 
-/// Counts a request of an entry, by its type.
+/// Counts a request from an entry by message type.
 pub(crate) fn request(message: &'static str) {
     metrics::counter!("sycamorerail_agent_requests_total", "message" => message).increment(1);
 }
 
-/// Counts bytes of packets of one session since the last count, with all that
-/// QUIC adds.
+/// Counts the UDP bytes of a session since the last count, including the QUIC overhead.
 pub(crate) fn packets(sent_bytes: u64, received_bytes: u64) {
     metrics::counter!("sycamorerail_agent_udp_bytes_total", "direction" => "sent")
         .increment(sent_bytes);
@@ -66,7 +65,7 @@
         .increment(received_bytes);
 }
 
-/// Counts a session that could not be made, or that ended.
+/// Counts a session that was opened, ended or failed to open.
 pub(crate) fn session(result: &'static str) {
     metrics::counter!("sycamorerail_agent_sessions_total", "result" => result).increment(1);
 }
--- a/crates/agent/src/entries.rs
+++ b/crates/agent/src/entries.rs
@@ -1,4 +1,4 @@
-//! Which entries the agent dials, and its sessions with them.
+//! The entries that the agent dials, and its sessions with them.
 
 use {
     crate::{
@@ -17,16 +17,16 @@
     tokio::task::JoinSet,
 };
 
-/// An entry that no welcome listed for this long is forgotten when it cannot
-/// be reached, unless the settings name it.
-const LISTED_FOR_MS: u64 = 150_000;
+/// An unreachable entry is forgotten when no welcome has listed it for this long, unless the
+/// settings name it.
+const FORGET_UNLISTED_AFTER_MS: u64 = 150_000;
 
-/// Most entries dialled; beyond it newly listed ones are left out.
+/// Most entries that the agent dials; further listed ones are ignored.
 const MAX_ENTRIES: usize = 4_096;
 
-const OTHER_ADDRESS_POLL: Duration = Duration::from_secs(1);
+const SAME_ENTRY_POLL: Duration = Duration::from_secs(1);
 
-/// The entries known.
+/// The known entries and the sessions with them.
 pub(crate) struct Entries {
     endpoint: Endpoint,
     fixed: HashSet<SocketAddr>,
@@ -41,7 +41,7 @@
 }
 
 impl Entries {
-    /// Entries that the settings name, to be dialled from the endpoint.
+    /// Creates the set with the entries from the settings; `endpoint` dials them.
     pub(crate) fn new(endpoint: Endpoint, fixed: impl IntoIterator<Item = SocketAddr>) -> Self {
         Self {
             endpoint,
@@ -51,30 +51,31 @@
         }
     }
 
-    /// Dials the entries that the settings name.
-    pub(crate) fn dial(self: &Arc<Self>, core: &Arc<Core>) {
+    /// Dials the entries from the settings.
+    pub(crate) fn dial_fixed(self: &Arc<Self>, core: &Arc<Core>) {
         let fixed: Vec<SocketAddr> = self.fixed.iter().copied().collect();
-        self.listed(core, &fixed);
+        self.add_listed(core, &fixed);
     }
 
-    /// A run of an entry has started: whatever runs at its address otherwise is
-    /// gone. Told wrongly, it costs one dial.
-    pub(crate) fn started(
+    /// Handles the start of an entry: sessions with another incarnation at its address end,
+    /// because that process is gone. A wrong notice costs one dial.
+    pub(crate) fn entry_started(
         self: &Arc<Self>,
         core: &Arc<Core>,
         address: SocketAddr,
-        run: Incarnation,
+        incarnation: Incarnation,
     ) {
         let sessions: Vec<_> = self.sessions.lock().values().cloned().collect();
-        let gone = |session: &&Arc<Session>| session.peer == address && session.incarnation != run;
-        for session in sessions.iter().filter(gone) {
+        let is_replaced =
+            |session: &&Arc<Session>| session.peer == address && session.incarnation != incarnation;
+        for session in sessions.iter().filter(is_replaced) {
             session.retire("another run has started there");
         }
-        self.listed(core, &[address]);
+        self.add_listed(core, &[address]);
     }
 
-    /// Takes a list of entries that an entry told, and dials the new ones.
-    pub(crate) fn listed(self: &Arc<Self>, core: &Arc<Core>, listed: &[SocketAddr]) {
+    /// Adds entries that an entry listed, and dials the new ones.
+    pub(crate) fn add_listed(self: &Arc<Self>, core: &Arc<Core>, listed: &[SocketAddr]) {
         let now_ms = core.clock.now_ms();
         let mut known = self.known.lock();
         while known.dialling.try_join_next().is_some() {}
@@ -87,34 +88,34 @@
                 continue;
             }
             let (core, entries) = (Arc::clone(core), Arc::clone(self));
-            known.dialling.spawn(session::keep(core, entries, self.endpoint.clone(), peer));
+            known.dialling.spawn(session::keep_session(core, entries, self.endpoint.clone(), peer));
         }
     }
 
-    /// Whether to go on dialling an entry; if not, it is forgotten.
+    /// Returns whether the agent keeps dialling an entry; otherwise forgets the entry.
     pub(crate) fn is_listed(&self, peer: SocketAddr, now_ms: u64) -> bool {
         if self.fixed.contains(&peer) {
             return true;
         }
         let mut known = self.known.lock();
         let listed_at_ms = known.listed_at_ms.get(&peer).copied();
-        let recent = listed_at_ms.is_some_and(|at_ms| now_ms < at_ms + LISTED_FOR_MS);
+        let recent = listed_at_ms.is_some_and(|at_ms| now_ms < at_ms + FORGET_UNLISTED_AFTER_MS);
         if !recent {
             known.listed_at_ms.remove(&peer);
         }
         recent
     }
 
-    /// Takes a session in. An earlier one with the same run, which has another
-    /// address then, ends: the entry holds to the latest too.
-    pub(crate) fn open(&self, session: &Arc<Session>) {
+    /// Adds a session. An earlier one with the same incarnation at another address ends: the
+    /// entry uses the latest one, too.
+    pub(crate) fn add_session(&self, session: &Arc<Session>) {
         let earlier = self.sessions.lock().insert(session.incarnation, Arc::clone(session));
         if let Some(earlier) = earlier {
             earlier.retire("a later session with this run exists");
         }
     }
 
-    pub(crate) fn close(&self, session: &Arc<Session>) {
+    pub(crate) fn remove_session(&self, session: &Arc<Session>) {
         let mut sessions = self.sessions.lock();
         let current = sessions.get(&session.incarnation);
         if current.is_some_and(|current| Arc::ptr_eq(current, session)) {
@@ -122,26 +123,25 @@
         }
     }
 
-    /// Waits while there is a session with this run of an entry, over whatever
-    /// address.
-    pub(crate) async fn while_open(&self, incarnation: Incarnation) {
+    /// Waits while a session with this incarnation of an entry exists at any address.
+    pub(crate) async fn wait_while_connected(&self, incarnation: Incarnation) {
         while self.sessions.lock().contains_key(&incarnation) {
-            tokio::time::sleep(OTHER_ADDRESS_POLL).await;
+            tokio::time::sleep(SAME_ENTRY_POLL).await;
         }
     }
 
-    /// Whether every connected entry has confirmed this change.
-    pub(crate) fn all_know(&self, change: u64) -> bool {
-        self.sessions.lock().values().all(|session| session.knows_change(change))
+    /// Returns whether every connected entry has confirmed this change.
+    pub(crate) fn all_confirmed(&self, change: u64) -> bool {
+        self.sessions.lock().values().all(|session| session.has_confirmed(change))
     }
 
-    /// Entries with a session now.
+    /// Returns the entries that have a session.
     pub(crate) fn connected(&self) -> Vec<(Incarnation, SocketAddr)> {
         self.sessions.lock().values().map(|session| (session.incarnation, session.peer)).collect()
     }
 
-    /// Ends all dialling.
-    pub(crate) fn stop(&self) {
+    /// Aborts all dialling and the sessions.
+    pub(crate) fn stop_dialling(&self) {
         self.known.lock().dialling.abort_all();
     }
 }
--- a/crates/agent/src/evacuation.rs
+++ b/crates/agent/src/evacuation.rs
@@ -1,8 +1,8 @@
-//! Evacuated data centres, as they are in force at this agent.
+//! Logging of the evacuations that an agent applies.
 
 use {sycamorerail_telemetry::event, sycamorerail_wire::runs::Evacuations};
 
-/// Logs evacuations that have come into force.
+/// Logs evacuations that the agent has applied.
 pub(crate) fn log_in_force(evacuations: &Evacuations, own_evacuated: bool) {
     event!(
         Info,
--- a/crates/agent/src/exit.rs
+++ b/crates/agent/src/exit.rs
@@ -5,13 +5,13 @@
 /// How the process ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Exit {
-    /// A planned stop that cut off nothing, or settings without a fault.
+    /// A planned stop that interrupted no work, or a successful check of the settings.
     Stopped = 0,
-    /// It could not start.
+    /// The process could not start.
     Failed = 1,
-    /// The settings are wrong.
+    /// The settings are invalid.
     BadSettings = 2,
-    /// A planned stop that outlasted `drain_ms`: work was cut off.
+    /// A planned stop that exceeded `drain_ms`, so that work was interrupted.
     CutWork = 3,
 }
 
--- a/crates/agent/src/gauges.rs
+++ b/crates/agent/src/gauges.rs
@@ -2,7 +2,7 @@
 
 use crate::{core::Core, entries::Entries};
 
-/// Sets the gauges.
+/// Sets all gauges to their current values.
 pub(crate) fn set_all(core: &Core, entries: &Entries) {
     let counts = core.counts();
     let set = |name: &'static str, value: u64| metrics::gauge!(name).set(value as f64);
--- a/crates/agent/src/http.rs
+++ b/crates/agent/src/http.rs
@@ -1,11 +1,11 @@
-//! HTTP for the upstream beside the agent, and for people.
+//! HTTP server for the upstream beside the agent and for operators.
 //!
-//! Whoever reaches this port may announce an upstream, which is then called.
-//! `http_address` belongs on loopback, or on an address that only the
-//! upstream's machine reaches.
+//! Any client that reaches this port may announce an upstream, which the agent then calls.
+//! `http_address` must therefore be a loopback address, or one that only the upstream's VM
+//! reaches.
 //!
-//! An upstream stops renewing before it says that it leaves: an announcement
-//! that comes after means that it is back.
+//! An upstream stops renewing before it announces leaving, so a later announcement means that
+//! the upstream is back.
 
 use {
     crate::{announcement, core::Core, entries::Entries, gauges, status, upstream},
@@ -40,14 +40,14 @@
 type Json = Custom<RawJson<String>>;
 
 #[derive(Serialize)]
-struct Refused {
+struct ErrorBody {
     reason: &'static str,
     field: Option<&'static str>,
     detail: String,
 }
 
 #[derive(Serialize)]
-struct Renewed {
+struct LeaseBody {
     agent: String,
     lease_ms: u32,
 }
@@ -60,22 +60,22 @@
 }
 
 impl Server {
-    /// Ends the server.
+    /// Stops the server.
     pub(crate) async fn stop(self) {
         self.shutdown.notify();
         let _ = self.running.await;
     }
 }
 
-/// Starts the server; it listens when this returns.
+/// Starts the server. It listens when this returns.
 pub(crate) async fn start(
     core: Arc<Core>,
     entries: Arc<Entries>,
     metrics: RenderMetrics,
 ) -> eyre::Result<Server> {
     let address = core.settings.http_address;
-    let (tell_port, port) = oneshot::channel();
-    let rocket = build(address, tell_port).manage(core).manage(entries).manage(metrics);
+    let (port_sender, port) = oneshot::channel();
+    let rocket = build(address, port_sender).manage(core).manage(entries).manage(metrics);
     let rocket = rocket.ignite().await.wrap_err("cannot set up HTTP")?;
     let shutdown = rocket.shutdown();
     let mut launching = tokio::spawn(rocket.launch());
@@ -92,21 +92,21 @@
     Ok(Server { address: SocketAddr::new(address.ip(), port), shutdown, running })
 }
 
-fn build(address: SocketAddr, tell_port: oneshot::Sender<u16>) -> Rocket<rocket::Build> {
-    let tell_port = parking_lot::Mutex::new(Some(tell_port));
+fn build(address: SocketAddr, port_sender: oneshot::Sender<u16>) -> Rocket<rocket::Build> {
+    let port_sender = parking_lot::Mutex::new(Some(port_sender));
     rocket::custom(config(address))
         .mount("/", routes![announce, leave, live, ready, metrics_page, status_page])
-        .register("/", catchers![refused])
+        .register("/", catchers![default_error])
         .attach(AdHoc::on_liftoff("listening", move |rocket| {
             Box::pin(async move {
-                if let Some(tell_port) = tell_port.lock().take() {
-                    let _ = tell_port.send(rocket.config().port);
+                if let Some(port_sender) = port_sender.lock().take() {
+                    let _ = port_sender.send(rocket.config().port);
                 }
             })
         }))
 }
 
-/// The agent decides itself when to stop: no signals, no ctrl-c.
+/// Disables Rocket's signal handling, because the agent itself decides when to stop.
 fn config(address: SocketAddr) -> Config {
     Config {
         address: address.ip(),
@@ -129,8 +129,13 @@
     Custom(status, RawJson(serde_json::to_string(body).unwrap_or_default()))
 }
 
-fn refuse(status: Status, field: Option<&'static str>, reason: Reason, detail: String) -> Json {
-    json(status, &Refused { reason: reason.name(), field, detail })
+fn error_response(
+    status: Status,
+    field: Option<&'static str>,
+    reason: Reason,
+    detail: String,
+) -> Json {
+    json(status, &ErrorBody { reason: reason.name(), field, detail })
 }
 
 #[put("/v1/upstream", data = "<body>")]
@@ -139,26 +144,33 @@
         Ok(body) if body.is_complete() => body.into_inner(),
         Ok(_) => {
             let detail = format!("expected at most {MAX_ANNOUNCEMENT_KIB} KiB");
-            return refuse(Status::PayloadTooLarge, Some("body"), Reason::TooLarge, detail);
+            return error_response(Status::PayloadTooLarge, Some("body"), Reason::TooLarge, detail);
         }
         Err(err) => {
-            return refuse(Status::BadRequest, Some("body"), Reason::Invalid, err.to_string());
+            return error_response(
+                Status::BadRequest,
+                Some("body"),
+                Reason::Invalid,
+                err.to_string(),
+            );
         }
     };
-    match announcement::read(&body) {
+    match announcement::parse(&body) {
         Ok(announced) => {
             upstream::announce(core, announced);
             let agent = core.identity.incarnation.to_string();
-            json(Status::Ok, &Renewed { agent, lease_ms: core.settings.upstream_lease_ms })
+            json(Status::Ok, &LeaseBody { agent, lease_ms: core.settings.upstream_lease_ms })
+        }
+        Err(err) => {
+            error_response(Status::BadRequest, Some(err.field), Reason::Invalid, err.to_string())
         }
-        Err(err) => refuse(Status::BadRequest, Some(err.field), Reason::Invalid, err.to_string()),
     }
 }
 
 #[delete("/v1/upstream")]
 fn leave(core: &State<Arc<Core>>) -> Json {
     upstream::leave(core, "announced");
-    json(Status::Ok, &status::Running { running: core.counts().running })
+    json(Status::Ok, &status::RunningTasks { running: core.counts().running })
 }
 
 #[get("/live")]
@@ -168,7 +180,7 @@
 
 #[get("/ready")]
 fn ready(core: &State<Arc<Core>>, entries: &State<Arc<Entries>>) -> Custom<String> {
-    match status::not_ready(core, entries) {
+    match status::unready_reason(core, entries) {
         None => Custom(Status::Ok, "ready\n".to_owned()),
         Some(why) => Custom(Status::ServiceUnavailable, format!("not ready: {why}\n")),
     }
@@ -190,12 +202,12 @@
 }
 
 #[catch(default)]
-fn refused(status: Status, request: &Request<'_>) -> Json {
+fn default_error(status: Status, request: &Request<'_>) -> Json {
     let reason = match status.code {
         404 => Reason::NotFound,
         413 => Reason::TooLarge,
         _ => Reason::Invalid,
     };
     let detail = format!("{} {}: {status}", request.method(), request.uri().path());
-    refuse(status, None, reason, detail)
+    error_response(status, None, reason, detail)
 }
--- a/crates/agent/src/leased/lease.rs
+++ b/crates/agent/src/leased/lease.rs
@@ -1,4 +1,4 @@
-//! Renews the lease of the upstream and learns what ended.
+//! Renews the lease of the upstream and collects the ends of runs.
 
 use {
     super::{
@@ -13,218 +13,241 @@
     tokio::time::{Instant, sleep_until},
 };
 
-/// A renewal's answer may wait this long for an end.
-const WAIT_MS: u32 = 40;
-/// An answer that is overdue by this much may be lost: another renewal is sent
-/// beside it. Ends are told by answers only; with 4.5 % of them lost and a wait of
-/// 450 ms for each, upstreams at 77 % of their room served one job in ten in time.
-const OVERDUE: Duration = Duration::from_millis(20);
-/// Renewals under way at most.
-const MAX_UNDER_WAY: usize = 4;
-/// Ends that come within this are told together: a twentieth of the shortest runs,
-/// for half of the calls at full load.
-const GATHER: Duration = Duration::from_millis(3);
-/// Pause after a renewal that failed.
-const RETRY: Duration = Duration::from_millis(20);
-/// Calls in a row that found no listener, after which the upstream is gone.
-const GONE_AFTER: u32 = 3;
-
-/// Keeps the lease for as long as the agent runs.
-pub(super) async fn keep(leased: Arc<LeasedAgent>) {
+/// How long the upstream may delay its answer to a renewal to wait for an end.
+const RENEWAL_WAIT_MS: u32 = 40;
+/// Once an answer is overdue by this much, it may be lost, and the agent sends another renewal
+/// in parallel. Ends are reported in answers only: with 4.5 % of them lost and a wait of
+/// 450 ms for each, upstreams loaded to 77 % of their capacity completed only one job in ten
+/// in time.
+const ANSWER_OVERDUE: Duration = Duration::from_millis(20);
+/// Most renewals in flight at once.
+const MAX_IN_FLIGHT: usize = 4;
+/// Pause after an answer with ends, so that one answer reports further ends together. It is
+/// a twentieth of the shortest run times and halves the number of calls at full load.
+const END_BATCH_PAUSE: Duration = Duration::from_millis(3);
+/// Pause after a failed renewal.
+const RETRY_PAUSE: Duration = Duration::from_millis(20);
+/// After this many refused connections in a row the upstream counts as crashed.
+const GONE_AFTER_REFUSALS: u32 = 3;
+
+/// Keeps the lease of the current instance for as long as the agent runs.
+pub(super) async fn keep_lease(agent: Arc<LeasedAgent>) {
     loop {
-        let life = leased.ledger.lock().current_instance().cloned();
-        match life {
-            Some(life) => keep_life(&leased, &life).await,
-            None => leased.life_changed.notified().await,
+        let instance = agent.ledger.lock().current_instance().cloned();
+        match instance {
+            Some(instance) => keep_instance_lease(&agent, &instance).await,
+            None => agent.instance_changed.notified().await,
         }
     }
 }
 
-/// Keeps the lease of one life until it ends or another is present.
-async fn keep_life(leased: &Arc<LeasedAgent>, life: &InstanceId) {
-    let mut keeping = Keeping { leased, life, unheard: 0, is_sure: false, is_heard: false };
-    let mut under_way = FuturesUnordered::new();
+/// Keeps the lease of one instance until that ends or another one is current.
+async fn keep_instance_lease(agent: &Arc<LeasedAgent>, instance: &InstanceId) {
+    let mut keeper = LeaseKeeper {
+        agent,
+        instance,
+        refused_calls: 0,
+        last_call_answered: false,
+        may_acknowledge_ends: false,
+    };
+    let mut in_flight = FuturesUnordered::new();
     let mut next_at = Instant::now();
-    while leased.ledger.lock().current_instance() == Some(life) {
-        let may_send = under_way.len() < MAX_UNDER_WAY;
+    while agent.ledger.lock().current_instance() == Some(instance) {
+        let may_send = in_flight.len() < MAX_IN_FLIGHT;
         tokio::select! {
-            Some(renewed) = under_way.next() => match keeping.take(renewed) {
-                Next::After(pause) => next_at = next_at.min(Instant::now() + pause),
-                Next::AsPlanned => {}
-                Next::Never => return,
+            Some(outcome) = in_flight.next() => match keeper.handle(outcome) {
+                NextRenewal::After(pause) => next_at = next_at.min(Instant::now() + pause),
+                NextRenewal::AsScheduled => {}
+                NextRenewal::Never => return,
             },
             () = sleep_until(next_at), if may_send => {
-                let wait_ms = if keeping.is_sure { WAIT_MS } else { 0 };
-                under_way.push(renew(leased, life, wait_ms, keeping.may_acknowledge()));
-                next_at = Instant::now() + Duration::from_millis(WAIT_MS.into()) + OVERDUE;
+                let wait_ms = if keeper.last_call_answered { RENEWAL_WAIT_MS } else { 0 };
+                in_flight.push(send_renewal(agent, instance, wait_ms, keeper.take_acknowledgement()));
+                next_at = Instant::now() + Duration::from_millis(RENEWAL_WAIT_MS.into()) + ANSWER_OVERDUE;
             }
-            () = leased.look_now.notified(), if may_send => {
-                under_way.push(renew(leased, life, 0, keeping.may_acknowledge()));
+            () = agent.renew_now.notified(), if may_send => {
+                in_flight.push(send_renewal(agent, instance, 0, keeper.take_acknowledgement()));
             }
         }
     }
 }
 
 /// When the next renewal is to be sent.
-enum Next {
+enum NextRenewal {
     After(Duration),
-    AsPlanned,
+    AsScheduled,
     Never,
 }
 
-/// A renewal that was answered or failed.
-struct Renewed {
+/// Result of a renewal, with what the agent knew when it sent it.
+struct RenewalOutcome {
     sent_ms: u64,
     fence: u64,
-    /// The fence was taken for the life that was asked.
+    /// The agent had established its fence at the addressed instance.
     is_fenced: bool,
     answer: Result<LeaseAnswer, CallError>,
 }
 
-struct Keeping<'a> {
-    leased: &'a Arc<LeasedAgent>,
-    life: &'a InstanceId,
-    /// Calls in a row that found no listener.
-    unheard: u32,
-    /// The last call was answered. Else another life may answer the next one, which is not to
-    /// wait for an end.
-    is_sure: bool,
-    /// A call was answered since the last one was sent.
-    is_heard: bool,
+/// State of the renewals for one instance.
+struct LeaseKeeper<'a> {
+    agent: &'a Arc<LeasedAgent>,
+    instance: &'a InstanceId,
+    /// Refused connections in a row.
+    refused_calls: u32,
+    /// The last call was answered. Otherwise another instance may answer the next call, which
+    /// must therefore not wait for an end.
+    last_call_answered: bool,
+    /// A call was answered since the last acknowledgement of ends was sent.
+    may_acknowledge_ends: bool,
 }
 
-impl Keeping<'_> {
-    /// Whether the call that is sent now acknowledges ends. If another life carries it out,
-    /// that forgets its first ends as those of this life that were told: so one call at most
-    /// for each answer.
-    fn may_acknowledge(&mut self) -> bool {
-        std::mem::take(&mut self.is_heard)
+impl LeaseKeeper<'_> {
+    /// Returns whether the next call may acknowledge ends. If another instance receives the
+    /// call, it discards its own first ends as acknowledged; the agent therefore acknowledges
+    /// at most once for each answer.
+    fn take_acknowledgement(&mut self) -> bool {
+        std::mem::take(&mut self.may_acknowledge_ends)
     }
 
-    fn take(&mut self, renewed: Renewed) -> Next {
-        match renewed.answer {
+    fn handle(&mut self, outcome: RenewalOutcome) -> NextRenewal {
+        match outcome.answer {
             Ok(mut answer) => {
-                answer.sent_ms = renewed.sent_ms;
-                answer.fence = renewed.fence;
-                answer.instance = answer.instance.or_current(Some(self.life));
-                self.answered(&answer, renewed.is_fenced)
+                answer.sent_ms = outcome.sent_ms;
+                answer.fence = outcome.fence;
+                answer.instance = answer.instance.or_current(Some(self.instance));
+                self.handle_answer(&answer, outcome.is_fenced)
             }
             Err(CallError::Fenced { clock_ms }) => {
-                self.leased
-                    .change(|ledger, _| ledger.handle_fence_refusal(renewed.fence, clock_ms));
-                self.log_fence(renewed.fence);
-                Next::After(Duration::ZERO)
+                self.agent.update_ledger(|ledger, _| {
+                    ledger.handle_fence_refusal(outcome.fence, clock_ms)
+                });
+                self.log_raised_fence(outcome.fence);
+                NextRenewal::After(Duration::ZERO)
             }
-            Err(error) => self.failed(&error),
+            Err(error) => self.handle_error(&error),
         }
     }
 
-    fn answered(&mut self, answer: &LeaseAnswer, is_fenced: bool) -> Next {
-        let Self { leased, life, .. } = *self;
-        self.unheard = 0;
-        self.is_sure = true;
-        self.is_heard = true;
-        leased.change(|ledger, now_ms| {
+    fn handle_answer(&mut self, answer: &LeaseAnswer, is_fenced: bool) -> NextRenewal {
+        let Self { agent, instance, .. } = *self;
+        self.refused_calls = 0;
+        self.last_call_answered = true;
+        self.may_acknowledge_ends = true;
+        agent.update_ledger(|ledger, now_ms| {
             if is_fenced {
                 ledger.handle_renewal_answer(answer, now_ms);
             } else {
                 ledger.handle_fence_answer(answer, now_ms);
             }
         });
-        if answer.instance != *life {
-            self.log_other(&answer.instance);
+        if answer.instance != *instance {
+            self.log_other_instance(&answer.instance);
         }
-        self.log_fence(answer.fence);
+        self.log_raised_fence(answer.fence);
         let had_ends = is_fenced && !answer.ended.is_empty();
-        Next::After(if had_ends { GATHER } else { Duration::ZERO })
+        NextRenewal::After(if had_ends { END_BATCH_PAUSE } else { Duration::ZERO })
     }
 
-    /// Another life answered: the next one, or an earlier one late.
-    fn log_other(&self, answered: &InstanceId) {
-        let is_present = self.leased.ledger.lock().current_instance() == Some(answered);
+    /// Logs that another instance answered: a newer one, or an earlier one late.
+    fn log_other_instance(&self, answered: &InstanceId) {
+        let is_present = self.agent.ledger.lock().current_instance() == Some(answered);
         if is_present {
             metrics::counter!("sycamorerail_upstream_restarts_total").increment(1);
-            event!(Warn, "upstream_restarted", life = answered, before = self.life);
+            event!(Warn, "upstream_restarted", life = answered, before = self.instance);
         } else {
-            event!(Info, "answer_ignored", life = answered, known = self.life);
+            event!(Info, "answer_ignored", life = answered, known = self.instance);
         }
     }
 
-    fn log_fence(&self, before: u64) {
-        let ledger = self.leased.ledger.lock();
+    fn log_raised_fence(&self, before: u64) {
+        let ledger = self.agent.ledger.lock();
         if ledger.fence() > before {
-            let life = ledger.current_instance().unwrap_or(self.life);
-            event!(Info, "fence_taken", life = life, fence = ledger.fence());
+            let instance = ledger.current_instance().unwrap_or(self.instance);
+            event!(Info, "fence_taken", life = instance, fence = ledger.fence());
         }
     }
 
-    fn failed(&mut self, error: &CallError) -> Next {
-        let Self { leased, life, .. } = *self;
-        self.is_sure = false;
-        self.is_heard = false;
-        event!(Info, "renewal_failed", life = life, error = error, unheard = self.unheard);
-        self.unheard = if *error == CallError::NoListener { self.unheard + 1 } else { 0 };
-        if let Some(how) = self.end_shown_by(error) {
-            lose(leased, life, error, how);
-            return Next::Never;
+    fn handle_error(&mut self, error: &CallError) -> NextRenewal {
+        let Self { agent, instance, .. } = *self;
+        self.last_call_answered = false;
+        self.may_acknowledge_ends = false;
+        event!(
+            Info,
+            "renewal_failed",
+            life = instance,
+            error = error,
+            refused_calls = self.refused_calls
+        );
+        self.refused_calls =
+            if *error == CallError::NoListener { self.refused_calls + 1 } else { 0 };
+        if let Some(how) = self.instance_end_from(error) {
+            lose_upstream(agent, instance, error, how);
+            return NextRenewal::Never;
         }
         match error {
-            // Others were sent meanwhile.
-            CallError::TimedOut(_) => Next::AsPlanned,
-            _ => Next::After(RETRY),
+            // Another renewal was sent meanwhile.
+            CallError::TimedOut(_) => NextRenewal::AsScheduled,
+            _ => NextRenewal::After(RETRY_PAUSE),
         }
     }
 
-    /// How the life has ended, if a failed call shows that it has.
-    fn end_shown_by(&self, error: &CallError) -> Option<InstanceEnd> {
+    /// Returns how the instance ended if the error proves that it has ended.
+    fn instance_end_from(&self, error: &CallError) -> Option<InstanceEnd> {
         match error {
             CallError::OtherInstance => Some(InstanceEnd::Replaced),
-            CallError::NoListener if self.leased.ledger.lock().has_pending_withdrawal() => {
+            CallError::NoListener if self.agent.ledger.lock().has_pending_withdrawal() => {
                 Some(InstanceEnd::Left)
             }
-            CallError::NoListener if self.unheard >= GONE_AFTER => Some(InstanceEnd::Crashed),
+            CallError::NoListener if self.refused_calls >= GONE_AFTER_REFUSALS => {
+                Some(InstanceEnd::Crashed)
+            }
             _ => None,
         }
     }
 }
 
-async fn renew(
-    leased: &LeasedAgent,
-    life: &InstanceId,
+async fn send_renewal(
+    agent: &LeasedAgent,
+    instance: &InstanceId,
     wait_ms: u32,
-    acknowledges: bool,
-) -> Renewed {
-    let sent_ms = leased.clock.now_ms();
+    acknowledge: bool,
+) -> RenewalOutcome {
+    let sent_ms = agent.clock.now_ms();
     let (fence, is_fenced, renewal) = {
-        let ledger = leased.ledger.lock();
+        let ledger = agent.ledger.lock();
         let renewal = if ledger.is_fenced() {
-            renewal(&ledger, wait_ms, acknowledges, sent_ms)
+            build_renewal(&ledger, wait_ms, acknowledge, sent_ms)
         } else {
             LeaseRenewal { lease_until_clock_ms: None, acknowledged_through: 0, wait_ms: 0 }
         };
         (ledger.fence(), ledger.is_fenced(), renewal)
     };
-    let target = FencedTarget { instance: life.clone(), fence };
-    Renewed {
+    let target = FencedTarget { instance: instance.clone(), fence };
+    RenewalOutcome {
         sent_ms,
         fence,
         is_fenced,
-        answer: leased.upstream_client.renew_lease(target, renewal).await,
+        answer: agent.upstream_client.renew_lease(target, renewal).await,
     }
 }
 
-fn renewal(ledger: &Ledger, wait_ms: u32, acknowledges: bool, now_ms: u64) -> LeaseRenewal {
+fn build_renewal(ledger: &Ledger, wait_ms: u32, acknowledge: bool, now_ms: u64) -> LeaseRenewal {
     LeaseRenewal {
         lease_until_clock_ms: ledger.lease_until_clock_ms(now_ms),
-        acknowledged_through: if acknowledges { ledger.last_acknowledged_end() } else { 0 },
+        acknowledged_through: if acknowledge { ledger.last_acknowledged_end() } else { 0 },
         wait_ms: if ledger.upstream_clock_ms(now_ms).is_some() { wait_ms } else { 0 },
     }
 }
 
-fn lose(leased: &Arc<LeasedAgent>, life: &InstanceId, error: &CallError, how: InstanceEnd) {
-    event!(Warn, "upstream_lost", life = life, error = error);
-    leased.change(|ledger, _| {
-        if ledger.current_instance() == Some(life) {
+fn lose_upstream(
+    agent: &Arc<LeasedAgent>,
+    instance: &InstanceId,
+    error: &CallError,
+    how: InstanceEnd,
+) {
+    event!(Warn, "upstream_lost", life = instance, error = error);
+    agent.update_ledger(|ledger, _| {
+        if ledger.current_instance() == Some(instance) {
             ledger.end_instance(how);
         }
     });
--- a/crates/agent/src/leased/links/link.rs
+++ b/crates/agent/src/leased/links/link.rs
@@ -28,32 +28,31 @@
     },
 };
 
-/// Longest wait for a connection: some fifty times the way there and back between
-/// data centres. A VM without power does not answer at all; after a loss of power
-/// everywhere a wait of 500 ms cost that much of service.
-const CONNECT_WITHIN: Duration = Duration::from_millis(150);
-/// Longest wait for the first message on a connection.
-const WELCOME_WITHIN: Duration = Duration::from_millis(500);
-/// Heartbeat of a link without other messages.
-const BEAT: Duration = Duration::from_millis(200);
-/// Loads without events are told this often at most on each link: a start and its end are
-/// told together where the upstream is fast (model, 55 entries, 240 upstreams: 95.7 % of
-/// the most urgent jobs in time, 91.5 % with 30 ms).
-const LOAD_PAUSE: Duration = Duration::from_millis(10);
+/// About fifty round trips between data centres. A VM without power never answers, so this
+/// wait delays service after a site-wide power loss: 500 ms cost that much of it.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
+/// Longest wait for the first message on a new connection.
+const WELCOME_TIMEOUT: Duration = Duration::from_millis(500);
+/// Heartbeat interval of a link without other messages.
+const HEARTBEAT: Duration = Duration::from_millis(200);
+/// Shortest pause between load reports without run events on a link, so that one report
+/// covers the start and the end of a short run. In a model of 55 entries and 240 upstreams,
+/// 95.7 % of the most urgent jobs were in time with 10 ms and 91.5 % with 30 ms.
+const MIN_LOAD_PAUSE: Duration = Duration::from_millis(10);
 
-/// Change of the time until which the upstream is slow that is told: announcements that say
-/// the same arrive a little earlier or later.
-const COLD_NEWS_MS: u64 = 250;
+/// Smaller changes of the end of the upstream's slow phase are not sent, because the arrival
+/// times of announcements vary.
+const MIN_COLD_CHANGE_MS: u64 = 250;
 
 /// How a connection ended.
 #[derive(Debug)]
 pub(super) enum LinkEnd {
-    /// It broke.
+    /// The connection broke.
     Broken(FrameError),
-    /// The entry was not heard, or did not hear us.
+    /// The agent has not heard the entry for too long, or the entry has not heard the agent.
     Silent,
-    /// The agent has let it go, and nothing of the entry was left.
-    LetGo,
+    /// The agent released the link, and no runs or reports of the entry were left.
+    Released,
 }
 
 impl fmt::Display for LinkEnd {
@@ -61,77 +60,78 @@
         match self {
             Self::Broken(error) => error.fmt(f),
             Self::Silent => f.write_str("silent"),
-            Self::LetGo => f.write_str("let go"),
+            Self::Released => f.write_str("released"),
         }
     }
 }
 
 /// One connection to an entry.
 pub(super) struct Link {
-    leased: Arc<LeasedAgent>,
+    agent: Arc<LeasedAgent>,
     peer: SocketAddr,
-    /// The entry's run.
+    /// Incarnation of the entry.
     pub(super) entry: Incarnation,
     echo: Mutex<Echo>,
-    /// Messages heard on this connection.
+    /// Number of messages received on this connection.
     heard: AtomicU64,
-    /// Highest revision of the configuration that the entry is known to hold.
+    /// Highest configuration revision that the entry is known to have.
     entry_revision: AtomicU64,
-    /// Evacuations that the entry is known to hold.
+    /// Evacuations that the entry is known to have.
     entry_evacuations: Mutex<Evacuations>,
-    /// Reports up to this number were sent on this connection.
-    told_up_to: AtomicU64,
-    /// Wakes the writer for what the entry asked.
-    asked: watch::Sender<u64>,
-    /// Whether the link is to be kept.
+    /// Number of the last report sent on this connection.
+    reported_up_to: AtomicU64,
+    /// Counts the entry's requests for the configuration; wakes the writer.
+    config_requests: watch::Sender<u64>,
+    /// Whether the agent keeps the link.
     kept: watch::Receiver<bool>,
-    /// The entry has said that it places nothing more over this connection.
+    /// The entry has confirmed that it places nothing more over this connection.
     unlinked: Notify,
 }
 
 impl Link {
-    /// Connects and exchanges the first messages.
+    /// Connects, sends the hello and reads the welcome.
     pub(super) async fn open(
-        leased: &Arc<LeasedAgent>,
+        agent: &Arc<LeasedAgent>,
         peer: SocketAddr,
         last_entry: Option<Incarnation>,
         kept: watch::Receiver<bool>,
     ) -> Result<(Self, FrameReader, FrameWriter), FrameError> {
-        let (mut reader, mut writer) = frames::connect(peer, CONNECT_WITHIN).await?;
-        let hello = hello(leased, last_entry);
-        let told = hello.unconfirmed_reports.last().map_or(0, |report| report.number);
+        let (mut reader, mut writer) = frames::connect(peer, CONNECT_TIMEOUT).await?;
+        let hello = hello(agent, last_entry);
+        let last_report = hello.unconfirmed_reports.last().map_or(0, |report| report.number);
         let held = hello.held_runs.clone();
         writer.push(&RunsFirstMessage::Agent(hello))?;
         writer.flush().await?;
-        let first = timeout(WELCOME_WITHIN, reader.next::<ToRunsAgent>()).await;
+        let first = timeout(WELCOME_TIMEOUT, reader.next::<ToRunsAgent>()).await;
         let first = first.map_err(|_| FrameError::Closed(peer))??;
         let ToRunsAgent::Welcome { entry, upstream } = first else {
             return Err(FrameError::Closed(peer));
         };
-        let now_ms = leased.clock.now_ms();
-        leased.change(|ledger, now_ms| {
+        let now_ms = agent.clock.now_ms();
+        agent.update_ledger(|ledger, now_ms| {
             ledger.note_owner_contact(entry, now_ms);
             if last_entry == Some(entry) {
                 ledger.report_missing_runs(entry, &held);
             }
         });
         event!(Info, "link_opened", peer = peer, entry = entry, again = last_entry == Some(entry));
-        if let Some(life) = upstream {
-            leased.restore_upstream(life);
+        if let Some(instance) = upstream {
+            agent.restore_upstream(instance);
         }
         let mut echo = Echo::new(now_ms);
         echo.sent(now_ms);
-        let told_up_to = AtomicU64::new(if last_entry == Some(entry) { told } else { 0 });
+        let reported_up_to =
+            AtomicU64::new(if last_entry == Some(entry) { last_report } else { 0 });
         let link = Self {
-            leased: Arc::clone(leased),
+            agent: Arc::clone(agent),
             peer,
             entry,
             echo: Mutex::new(echo),
             heard: AtomicU64::new(1),
             entry_revision: AtomicU64::new(0),
             entry_evacuations: Mutex::default(),
-            told_up_to,
-            asked: watch::Sender::new(0),
+            reported_up_to,
+            config_requests: watch::Sender::new(0),
             kept,
             unlinked: Notify::new(),
         };
@@ -141,32 +141,32 @@
     /// Reads and writes until the connection ends or falls silent.
     pub(super) async fn run(&self, reader: FrameReader, writer: FrameWriter) -> LinkEnd {
         tokio::select! {
-            error = self.read_on(reader) => LinkEnd::Broken(error),
-            error = self.write_on(writer) => LinkEnd::Broken(error),
-            () = self.fall_silent() => LinkEnd::Silent,
-            () = self.let_go() => LinkEnd::LetGo,
+            error = self.read_messages(reader) => LinkEnd::Broken(error),
+            error = self.write_messages(writer) => LinkEnd::Broken(error),
+            () = self.wait_silent() => LinkEnd::Silent,
+            () = self.wait_released() => LinkEnd::Released,
         }
     }
 
-    /// Waits until the entry places nothing more here and nothing of it is left.
-    async fn let_go(&self) {
-        let mut changes = self.leased.changes.subscribe();
+    /// Waits until the entry places nothing more here and no runs or reports of it are left.
+    async fn wait_released(&self) {
+        let mut changes = self.agent.changes.subscribe();
         self.unlinked.notified().await;
-        while !self.leased.ledger.lock().is_owner_settled(self.entry) {
+        while !self.agent.ledger.lock().is_owner_settled(self.entry) {
             if changes.changed().await.is_err() {
                 return;
             }
         }
     }
 
-    /// Waits until the entry was not heard for long. The agent may notice that first, where
-    /// its VM was suspended: timers have stood still, and what is read now is old.
-    async fn fall_silent(&self) {
-        let mut dropped = self.leased.dropped_owners.subscribe();
+    /// Waits until the entry has been silent for too long. After a suspension of the VM the
+    /// ledger may drop the entry first: timers stood still, and messages read now are old.
+    async fn wait_silent(&self) {
+        let mut dropped = self.agent.dropped_owners.subscribe();
         loop {
             let confirmed_ms = self.echo.lock().confirmed_ms();
-            let silence_ms = self.leased.settings.limits.owner_timeout_ms;
-            let left_ms = (confirmed_ms + silence_ms).saturating_sub(self.leased.clock.now_ms());
+            let silence_ms = self.agent.settings.limits.owner_timeout_ms;
+            let left_ms = (confirmed_ms + silence_ms).saturating_sub(self.agent.clock.now_ms());
             if left_ms == 0 {
                 return;
             }
@@ -181,256 +181,252 @@
         }
     }
 
-    async fn read_on(&self, mut reader: FrameReader) -> FrameError {
+    async fn read_messages(&self, mut reader: FrameReader) -> FrameError {
         loop {
             match reader.next().await {
-                Ok(message) => self.take(message),
+                Ok(message) => self.handle(message),
                 Err(error) => return error,
             }
         }
     }
 
-    fn take(&self, message: ToRunsAgent) {
+    fn handle(&self, message: ToRunsAgent) {
         self.heard.fetch_add(1, Ordering::AcqRel);
-        let leased = &self.leased;
+        let agent = &self.agent;
         match message {
             ToRunsAgent::Welcome { .. } => {}
             ToRunsAgent::Members(entries) => {
-                leased.links.told(self.peer, &entries, leased.clock.now_ms());
+                agent.links.set_named_by(self.peer, &entries, agent.clock.now_ms());
             }
             ToRunsAgent::Place(placement) => {
-                leased.change(|ledger, now_ms| ledger.place(self.entry, placement, now_ms));
+                agent.update_ledger(|ledger, now_ms| ledger.place(self.entry, placement, now_ms));
             }
             ToRunsAgent::Stop(job) => {
-                leased.change(|ledger, _| ledger.stop_job(self.entry, job));
+                agent.update_ledger(|ledger, _| ledger.stop_job(self.entry, job));
             }
             ToRunsAgent::JobMostlyStarted { job, give_up_in_ms } => {
-                leased.change(|ledger, now_ms| {
+                agent.update_ledger(|ledger, now_ms| {
                     ledger.prioritise_job(self.entry, job, give_up_in_ms, now_ms);
-                })
+                });
             }
-            ToRunsAgent::Withdraw(tasks) => leased.change(|ledger, _| {
+            ToRunsAgent::Withdraw(tasks) => agent.update_ledger(|ledger, _| {
                 tasks.into_iter().for_each(|task| ledger.withdraw_task(self.entry, task));
             }),
             ToRunsAgent::Unlinked => self.unlinked.notify_one(),
             ToRunsAgent::Heartbeat { heard, confirmed, agents, largest } => {
-                leased.links.beat(self.peer, agents, &largest);
+                agent.links.update_from_heartbeat(self.peer, agents, &largest);
                 let mut echo = self.echo.lock();
                 echo.heard(heard);
                 let heard_ms = echo.confirmed_ms();
                 drop(echo);
-                let mut ledger = leased.ledger.lock();
+                let mut ledger = agent.ledger.lock();
                 ledger.note_owner_contact(self.entry, heard_ms);
                 ledger.confirm_reports(self.entry, confirmed);
             }
             ToRunsAgent::Configuration(copy) => {
                 self.entry_revision.fetch_max(copy.revision, Ordering::AcqRel);
-                let mut held = leased.configuration.lock();
+                let mut held = agent.configuration.lock();
                 if held.as_ref().is_none_or(|held| held.revision < copy.revision) {
                     event!(Info, "configuration_held", revision = copy.revision);
                     *held = Some(copy);
                 }
             }
-            ToRunsAgent::Evacuations(told) => {
-                self.entry_evacuations.lock().clone_from(&told);
-                leased.hold_evacuations(&told);
+            ToRunsAgent::Evacuations(received) => {
+                self.entry_evacuations.lock().clone_from(&received);
+                agent.apply_evacuations(&received);
             }
-            ToRunsAgent::Crashes(told) => leased.change(|ledger, now_ms| {
-                ledger.learn_crashes(&told, leased.incarnation, now_ms);
+            ToRunsAgent::Crashes(received) => agent.update_ledger(|ledger, now_ms| {
+                ledger.learn_crashes(&received, agent.incarnation, now_ms);
             }),
-            ToRunsAgent::RequestConfiguration => self.asked.send_modify(|asked| *asked += 1),
+            ToRunsAgent::RequestConfiguration => self.config_requests.send_modify(|n| *n += 1),
         }
     }
 
-    async fn write_on(&self, mut writer: FrameWriter) -> FrameError {
-        let mut changes = self.leased.changes.subscribe();
-        let mut asked = self.asked.subscribe();
+    async fn write_messages(&self, mut writer: FrameWriter) -> FrameError {
+        let mut changes = self.agent.changes.subscribe();
+        let mut config_requests = self.config_requests.subscribe();
         let mut kept = self.kept.clone();
-        let mut told = Told { beat_at: Instant::now(), ..Told::default() };
+        let mut sent = SentState { heartbeat_at: Instant::now(), ..SentState::default() };
         loop {
-            if let Err(error) = self.write(&mut writer, &mut told, &mut asked).await {
+            if let Err(error) = self.write_due(&mut writer, &mut sent, &mut config_requests).await {
                 return error;
             }
             tokio::select! {
                 _ = changes.changed() => {}
-                _ = asked.changed() => asked.mark_changed(),
+                _ = config_requests.changed() => config_requests.mark_changed(),
                 Ok(()) = kept.changed() => {}
-                () = sleep_until(told.next_at()) => {}
+                () = sleep_until(sent.next_at()) => {}
             }
         }
     }
 
-    async fn write(
+    async fn write_due(
         &self,
         writer: &mut FrameWriter,
-        told: &mut Told,
-        asked: &mut watch::Receiver<u64>,
+        sent: &mut SentState,
+        config_requests: &mut watch::Receiver<u64>,
     ) -> Result<(), FrameError> {
         let mut messages = Vec::new();
-        self.collect(told, &mut messages);
-        if asked.has_changed().unwrap_or(false) {
-            asked.mark_unchanged();
-            let copy = self.leased.configuration.lock().clone();
+        self.collect_due(sent, &mut messages);
+        if config_requests.has_changed().unwrap_or(false) {
+            config_requests.mark_unchanged();
+            let copy = self.agent.configuration.lock().clone();
             messages.extend(copy.map(FromRunsAgent::Configuration));
         }
         if messages.is_empty() {
             return Ok(());
         }
         for message in &messages {
-            self.echo.lock().sent(self.leased.clock.now_ms());
+            self.echo.lock().sent(self.agent.clock.now_ms());
             writer.push(message)?;
         }
         writer.flush().await
     }
 
-    /// What the entry has to be told now.
-    fn collect(&self, told: &mut Told, messages: &mut Vec<FromRunsAgent>) {
-        let leased = &self.leased;
-        let ledger = leased.ledger.lock();
-        let told_up_to = self.told_up_to.load(Ordering::Acquire);
+    /// Collects the messages that are due for the entry.
+    fn collect_due(&self, sent: &mut SentState, messages: &mut Vec<FromRunsAgent>) {
+        let agent = &self.agent;
+        let ledger = agent.ledger.lock();
+        let reported_up_to = self.reported_up_to.load(Ordering::Acquire);
         let reports = ledger.reports(self.entry);
         let reports: Vec<RunReport> =
-            reports.into_iter().filter(|report| report.number > told_up_to).collect();
-        let load = ledger.load(leased.clock.now_ms());
-        let life = ledger.proven_instance().cloned();
-        let now_ms = leased.clock.now_ms();
-        let (crashes, last_crash) = ledger.crashes_after(told.crash, leased.incarnation, now_ms);
+            reports.into_iter().filter(|report| report.number > reported_up_to).collect();
+        let load = ledger.load(agent.clock.now_ms());
+        let instance = ledger.proven_instance().cloned();
+        let now_ms = agent.clock.now_ms();
+        let (crashes, last_crash) = ledger.crashes_after(sent.crash, agent.incarnation, now_ms);
         let cold_until_ms = ledger.cold_until_ms(now_ms);
         drop(ledger);
-        told.crash = last_crash;
+        sent.crash = last_crash;
         if !crashes.is_empty() {
             messages.push(FromRunsAgent::Crashes(crashes));
         }
-        if life.is_some() && told.life != life {
-            told.life.clone_from(&life);
-            messages.extend(life.map(FromRunsAgent::Upstream));
+        if instance.is_some() && sent.instance != instance {
+            sent.instance.clone_from(&instance);
+            messages.extend(instance.map(FromRunsAgent::Upstream));
         }
-        if told.is_cold_news(cold_until_ms) {
-            told.cold_until_ms = cold_until_ms;
+        if sent.is_cold_changed(cold_until_ms) {
+            sent.cold_until_ms = cold_until_ms;
             let left_ms = cold_until_ms.map_or(0, |until_ms| until_ms.saturating_sub(now_ms));
             let left_ms = u32::try_from(left_ms).unwrap_or(u32::MAX);
             messages.push(FromRunsAgent::Cold { left_ms });
         }
-        if !told.unlink && !*self.kept.borrow() {
-            told.unlink = true;
+        if !sent.unlink_sent && !*self.kept.borrow() {
+            sent.unlink_sent = true;
             messages.push(FromRunsAgent::Unlink);
         }
-        let revision = leased.configuration.lock().as_ref().map_or(0, |copy| copy.revision);
-        if revision > self.entry_revision.load(Ordering::Acquire) && revision > told.revision {
-            told.revision = revision;
+        let revision = agent.configuration.lock().as_ref().map_or(0, |copy| copy.revision);
+        if revision > self.entry_revision.load(Ordering::Acquire) && revision > sent.revision {
+            sent.revision = revision;
             messages.push(FromRunsAgent::ConfigurationRevision { revision });
         }
-        let lacking = leased.evacuations.lock().update_for_peer(&mut self.entry_evacuations.lock());
-        messages.extend(lacking.map(FromRunsAgent::Evacuations));
+        let update = agent.evacuations.lock().update_for_peer(&mut self.entry_evacuations.lock());
+        messages.extend(update.map(FromRunsAgent::Evacuations));
         let now = Instant::now();
-        if now >= told.cluster_at {
-            told.cluster_at = now + BEAT;
-            self.tell_cluster(told, messages);
+        if now >= sent.cluster_at {
+            sent.cluster_at = now + HEARTBEAT;
+            self.push_cluster(sent, messages);
         }
-        let is_changed = told.load.is_none_or(|told| is_significant_change(&told, &load));
-        let load_due = is_changed && now >= told.load_at;
-        if reports.is_empty() && !load_due && now < told.beat_at {
-            // A changed load is told after its pause.
-            told.load_waits = is_changed;
+        let is_changed = sent.load.is_none_or(|sent_load| is_significant_change(&sent_load, &load));
+        let load_due = is_changed && now >= sent.load_at;
+        if reports.is_empty() && !load_due && now < sent.heartbeat_at {
+            // The changed load is sent after the pause.
+            sent.load_waits = is_changed;
             return;
         }
-        let last = reports.last().map_or(told_up_to, |report| report.number);
-        self.told_up_to.store(last, Ordering::Release);
-        told.load = Some(load);
-        told.load_at = now + LOAD_PAUSE;
-        told.beat_at = now + BEAT;
-        told.load_waits = false;
+        let last = reports.last().map_or(reported_up_to, |report| report.number);
+        self.reported_up_to.store(last, Ordering::Release);
+        sent.load = Some(load);
+        sent.load_at = now + MIN_LOAD_PAUSE;
+        sent.heartbeat_at = now + HEARTBEAT;
+        sent.load_waits = false;
         let heard = self.heard.load(Ordering::Acquire);
         messages.push(FromRunsAgent::Report { heard, reports, load });
     }
 
-    /// Tells what the agent knows of other entries, where it has changed. Looked at once in
-    /// the time of a heartbeat, as many change at once when everything starts.
-    fn tell_cluster(&self, told: &mut Told, messages: &mut Vec<FromRunsAgent>) {
-        let cluster = self.leased.links.cluster();
-        if told.cluster.as_ref() == Some(&cluster) {
+    /// Adds what the agent knows about other entries if it has changed. Checked only once per
+    /// heartbeat interval, because many changes come together when a cluster starts.
+    fn push_cluster(&self, sent: &mut SentState, messages: &mut Vec<FromRunsAgent>) {
+        let cluster = self.agent.links.cluster();
+        if sent.cluster.as_ref() == Some(&cluster) {
             return;
         }
         let Cluster { connected, named, largest } = cluster.clone();
         messages.push(FromRunsAgent::Entries { connected, named });
         messages.push(FromRunsAgent::LargestCapacity(largest));
-        told.cluster = Some(cluster);
+        sent.cluster = Some(cluster);
     }
 }
 
-/// What an agent knows of all entries.
+/// What an agent knows about all entries.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Cluster {
-    /// It is connected to them now.
+    /// Entries to which the agent is connected.
     pub(super) connected: Vec<SocketAddr>,
-    /// Its entries told it of them.
+    /// Entries that the connected entries list.
     pub(super) named: Vec<SocketAddr>,
-    /// The most of each that an upstream of its pool has.
+    /// Largest capacity, per resource, of any upstream in the agent's pool.
     pub(super) largest: Resources,
 }
 
-/// What was told on a connection, and when the next message is due.
-struct Told {
-    life: Option<UpstreamInstance>,
+/// What was sent on a connection, and when the next message is due.
+struct SentState {
+    instance: Option<UpstreamInstance>,
     cluster: Option<Cluster>,
     cluster_at: Instant,
-    unlink: bool,
-    /// Number of the last crash.
+    unlink_sent: bool,
+    /// Number of the last crash that was sent.
     crash: u64,
     cold_until_ms: Option<u64>,
     revision: u64,
     load: Option<UpstreamLoad>,
     load_at: Instant,
     load_waits: bool,
-    beat_at: Instant,
+    heartbeat_at: Instant,
 }
 
-impl Default for Told {
+impl Default for SentState {
     fn default() -> Self {
         let now = Instant::now();
         Self {
-            life: None,
+            instance: None,
             cluster: None,
             cluster_at: now,
-            unlink: false,
+            unlink_sent: false,
             crash: 0,
             cold_until_ms: None,
             revision: 0,
             load: None,
             load_at: now,
             load_waits: false,
-            beat_at: now,
+            heartbeat_at: now,
         }
     }
 }
 
-impl Told {
-    fn is_cold_news(&self, until_ms: Option<u64>) -> bool {
+impl SentState {
+    fn is_cold_changed(&self, until_ms: Option<u64>) -> bool {
         match (self.cold_until_ms, until_ms) {
             (None, None) => false,
-            (Some(told_ms), Some(until_ms)) => told_ms.abs_diff(until_ms) > COLD_NEWS_MS,
+            (Some(sent_ms), Some(until_ms)) => sent_ms.abs_diff(until_ms) > MIN_COLD_CHANGE_MS,
             _ => true,
         }
     }
 
     fn next_at(&self) -> Instant {
-        if self.load_waits { self.load_at.min(self.beat_at) } else { self.beat_at }
+        if self.load_waits { self.load_at.min(self.heartbeat_at) } else { self.heartbeat_at }
     }
 }
 
-fn hello(leased: &LeasedAgent, last_entry: Option<Incarnation>) -> RunsHello {
-    let ledger = leased.ledger.lock();
+fn hello(agent: &LeasedAgent, last_entry: Option<Incarnation>) -> RunsHello {
+    let ledger = agent.ledger.lock();
     RunsHello {
-        agent: leased.incarnation,
-        name: leased.settings.name.clone(),
-        data_centre: leased.settings.data_centre.clone(),
+        agent: agent.incarnation,
+        name: agent.settings.name.clone(),
+        data_centre: agent.settings.data_centre.clone(),
         last_heard_entry: last_entry,
         held_runs: last_entry.map(|entry| ledger.held_runs(entry)).unwrap_or_default(),
         unconfirmed_reports: last_entry.map(|entry| ledger.reports(entry)).unwrap_or_default(),
-        configuration_revision: leased
-            .configuration
-            .lock()
-            .as_ref()
-            .map_or(0, |copy| copy.revision),
+        configuration_revision: agent.configuration.lock().as_ref().map_or(0, |copy| copy.revision),
     }
 }
--- a/crates/agent/src/leased/links/mod.rs
+++ b/crates/agent/src/leased/links/mod.rs
@@ -1,7 +1,7 @@
-//! Links to entries, dialled by the agent: which ones it keeps, and how they are made
-//! anew when they break or fall silent.
+//! Links to entries: which ones the agent keeps, and how it redials those that break or fall
+//! silent.
 //!
-//! `decide::links` chooses them; [`link`] is one connection.
+//! `decide::links` chooses the links; [`link`] is one connection.
 
 mod link;
 
@@ -26,45 +26,47 @@
     },
 };
 
-/// First and longest pause between attempts to dial.
+/// First and longest pause between dial attempts, in milliseconds.
 const REDIAL_MS: (u64, u64) = (30, 200);
-/// An entry that nobody names any more is let go after failing this long.
+/// An unreachable entry that no entry lists is forgotten this long after it was last listed
+/// or connected.
 const FORGET_AFTER_MS: u64 = 30_000;
-/// Pause between looks at how many links are needed. Entries' counts of agents are that old.
-const COUNT_PAUSE_MS: u64 = 1_000;
+/// Interval between recalculations of the number of links. The agent counts that entries
+/// send are up to this old.
+const LINK_COUNT_PAUSE_MS: u64 = 1_000;
 
 /// All links of an agent.
 #[derive(Debug)]
 pub(super) struct Links {
     limits: LinkLimits,
     known: Mutex<Known>,
-    /// Links are to be chosen anew.
+    /// Signals that links must be chosen again.
     changed: Notify,
 }
 
-/// What an agent knows of entries.
+/// Known entries and the wanted number of links.
 #[derive(Debug, Default)]
 struct Known {
     entries: BTreeMap<SocketAddr, KnownEntry>,
-    /// Links wanted; 0 before the first choice.
+    /// Wanted number of links; 0 before the first choice.
     wanted: usize,
-    /// The most of each that an upstream of the agent's pool has.
+    /// Largest capacity, per resource, of any upstream in the agent's pool.
     largest: Resources,
 }
 
 #[derive(Debug, Default)]
 struct KnownEntry {
-    /// When it was last named.
+    /// When this entry was last listed.
     named_ms: u64,
-    /// Entries that it named last.
+    /// Entries that this one listed last.
     names: BTreeSet<SocketAddr>,
     connected_ms: Option<u64>,
     failing_ms: Option<u64>,
-    /// Its run that was heard last.
+    /// Incarnation of the last connection to it.
     last_run: Option<Incarnation>,
-    /// Agents of this one's pool that it has.
+    /// Number of agents in this agent's pool that are connected to it.
     agents: u32,
-    /// Tells the task that keeps the link whether to go on; none without a task.
+    /// Tells the Tokio task of the link whether to keep it; `None` without such a task.
     kept: Option<watch::Sender<bool>>,
 }
 
@@ -88,7 +90,7 @@
         known.entries.values().filter(|entry| entry.connected_ms.is_some()).count()
     }
 
-    /// Entries may be reached at these addresses.
+    /// Adds addresses at which entries may be reached.
     pub(super) fn learn(&self, entries: &[SocketAddr], now_ms: u64) {
         let mut known = self.known.lock();
         for &entry in entries {
@@ -98,16 +100,16 @@
         self.changed.notify_one();
     }
 
-    /// An entry names all that it knows.
-    fn told(&self, by: SocketAddr, entries: &[SocketAddr], now_ms: u64) {
+    /// Stores the list of all entries that the entry `by` knows.
+    fn set_named_by(&self, by: SocketAddr, entries: &[SocketAddr], now_ms: u64) {
         if let Some(by) = self.known.lock().entries.get_mut(&by) {
             by.names = entries.iter().copied().collect();
         }
         self.learn(entries, now_ms);
     }
 
-    /// An entry tells what it has of the agent's pool.
-    fn beat(&self, by: SocketAddr, agents: u32, largest: &Resources) {
+    /// Stores what a heartbeat of the entry `by` reports about the agent's pool.
+    fn update_from_heartbeat(&self, by: SocketAddr, agents: u32, largest: &Resources) {
         let mut known = self.known.lock();
         known.largest = known.largest.max_of_each(largest);
         if let Some(entry) = known.entries.get_mut(&by) {
@@ -115,7 +117,7 @@
         }
     }
 
-    /// What the agent knows of all entries.
+    /// Returns what the agent knows about all entries.
     fn cluster(&self) -> Cluster {
         let known = self.known.lock();
         let connected = known.entries.iter().filter(|(_, entry)| entry.connected_ms.is_some());
@@ -124,15 +126,15 @@
         Cluster { connected, named, largest: known.largest }
     }
 
-    fn change(&self, peer: SocketAddr, change: impl FnOnce(&mut KnownEntry)) {
+    fn update_entry(&self, peer: SocketAddr, update: impl FnOnce(&mut KnownEntry)) {
         if let Some(entry) = self.known.lock().entries.get_mut(&peer) {
-            change(entry);
+            update(entry);
         }
         self.changed.notify_one();
     }
 
     fn connected_to(&self, peer: SocketAddr, run: Incarnation, now_ms: u64) {
-        self.change(peer, |entry| {
+        self.update_entry(peer, |entry| {
             entry.connected_ms = Some(now_ms);
             entry.failing_ms = None;
             entry.last_run = Some(run);
@@ -140,7 +142,7 @@
     }
 
     fn disconnected_from(&self, peer: SocketAddr, now_ms: u64) {
-        self.change(peer, |entry| {
+        self.update_entry(peer, |entry| {
             entry.connected_ms = None;
             entry.names.clear();
             entry.named_ms = now_ms;
@@ -148,7 +150,7 @@
     }
 
     fn failed(&self, peer: SocketAddr, now_ms: u64) {
-        self.change(peer, |entry| {
+        self.update_entry(peer, |entry| {
             entry.failing_ms.get_or_insert(now_ms);
         });
     }
@@ -157,8 +159,9 @@
         self.known.lock().entries.get(&peer)?.last_run
     }
 
-    /// Ends the task of a link unless the link is to be kept; returns whether it ended.
-    fn finish(&self, peer: SocketAddr) -> bool {
+    /// Marks the task of a link as ended unless the link is to be kept; returns whether it
+    /// ended.
+    fn end_unless_kept(&self, peer: SocketAddr) -> bool {
         let mut known = self.known.lock();
         let Some(entry) = known.entries.get_mut(&peer) else { return true };
         if entry.state().is_kept {
@@ -171,13 +174,13 @@
 }
 
 impl Known {
-    /// Entries that others name.
+    /// Returns the entries that other entries list.
     fn named(&self) -> BTreeSet<SocketAddr> {
         self.entries.values().flat_map(|entry| entry.names.iter().copied()).collect()
     }
 
-    /// Forgets entries that nobody names and that cannot be reached.
-    fn forget(&mut self, seeds: &[SocketAddr], now_ms: u64) {
+    /// Forgets entries that no entry lists and that cannot be reached.
+    fn forget_lost(&mut self, seeds: &[SocketAddr], now_ms: u64) {
         let named = self.named();
         self.entries.retain(|address, entry| {
             let is_old = now_ms >= entry.named_ms + FORGET_AFTER_MS;
@@ -193,15 +196,15 @@
         });
     }
 
-    /// Entries in the agent's order of preference.
-    fn ranked(&self, agent: &str) -> Vec<(SocketAddr, LinkState)> {
+    /// Returns the entries in the agent's order of preference.
+    fn ranked(&self, agent_name: &str) -> Vec<(SocketAddr, LinkState)> {
         let addresses: Vec<_> = self.entries.keys().copied().collect();
-        let ranked = preferred(agent, &addresses);
+        let ranked = preferred(agent_name, &addresses);
         ranked.into_iter().map(|address| (address, self.entries[&address].state())).collect()
     }
 
-    /// Adapts the number of links to what entries tell, once all links work.
-    fn count(&mut self, limits: &LinkLimits, now_ms: u64) {
+    /// Adapts the wanted number of links to the entries' counts of agents once all links work.
+    fn update_wanted(&mut self, limits: &LinkLimits, now_ms: u64) {
         let settled = self.entries.values().filter(|entry| entry.state().is_settled(now_ms));
         let seen: Vec<_> = settled.map(|entry| entry.agents).collect();
         if seen.len() < self.wanted {
@@ -215,27 +218,27 @@
     }
 }
 
-/// Chooses links whenever entries come, go or fail, for as long as the agent runs.
-pub(super) async fn keep_chosen(leased: Arc<LeasedAgent>) {
+/// Chooses links whenever entries appear, disappear or fail, for as long as the agent runs.
+pub(super) async fn choose_links(agent: Arc<LeasedAgent>) {
     loop {
-        let count_at = Instant::now() + jittered(COUNT_PAUSE_MS);
+        let recount_at = Instant::now() + jittered(LINK_COUNT_PAUSE_MS);
         loop {
-            choose_now(&leased);
-            if timeout_at(count_at, leased.links.changed.notified()).await.is_err() {
+            choose_now(&agent);
+            if timeout_at(recount_at, agent.links.changed.notified()).await.is_err() {
                 break;
             }
         }
-        leased.links.known.lock().count(&leased.links.limits, leased.clock.now_ms());
+        agent.links.known.lock().update_wanted(&agent.links.limits, agent.clock.now_ms());
     }
 }
 
-fn choose_now(leased: &Arc<LeasedAgent>) {
-    let now_ms = leased.clock.now_ms();
-    let links = &leased.links;
+fn choose_now(agent: &Arc<LeasedAgent>) {
+    let now_ms = agent.clock.now_ms();
+    let links = &agent.links;
     let mut known = links.known.lock();
-    known.forget(&leased.settings.seeds, now_ms);
+    known.forget_lost(&agent.settings.seeds, now_ms);
     known.wanted = next_count(known.wanted, known.entries.len(), &[], &links.limits);
-    let ranked = known.ranked(&leased.settings.name);
+    let ranked = known.ranked(&agent.settings.name);
     let LinkChoice { dial, end } = choose(&ranked, known.wanted, now_ms);
     for address in dial {
         let Some(entry) = known.entries.get_mut(&address) else { continue };
@@ -244,11 +247,11 @@
             continue;
         }
         let kept = watch::Sender::new(true);
-        tokio::spawn(keep(Arc::clone(leased), address, kept.subscribe()));
+        tokio::spawn(keep_link(Arc::clone(agent), address, kept.subscribe()));
         entry.kept = Some(kept);
     }
     for address in end {
-        event!(Info, "link_let_go", peer = address, links = known.wanted);
+        event!(Info, "link_released", peer = address, links = known.wanted);
         let entry = known.entries.get(&address);
         if let Some(kept) = entry.and_then(|entry| entry.kept.as_ref()) {
             kept.send_replace(false);
@@ -256,28 +259,28 @@
     }
 }
 
-/// Keeps a link to an entry for as long as it is chosen.
-async fn keep(leased: Arc<LeasedAgent>, peer: SocketAddr, kept: watch::Receiver<bool>) {
+/// Keeps a link to an entry for as long as the link is chosen.
+async fn keep_link(agent: Arc<LeasedAgent>, peer: SocketAddr, kept: watch::Receiver<bool>) {
     let mut pause_ms = REDIAL_MS.0;
-    while !leased.links.finish(peer) {
-        let last_run = leased.links.last_run(peer);
-        match Link::open(&leased, peer, last_run, kept.clone()).await {
+    while !agent.links.end_unless_kept(peer) {
+        let last_run = agent.links.last_run(peer);
+        match Link::open(&agent, peer, last_run, kept.clone()).await {
             Ok((link, reader, writer)) => {
                 if let Some(before) = last_run.filter(|before| *before != link.entry) {
-                    leased.change(|ledger, _| ledger.drop_owner(before));
+                    agent.update_ledger(|ledger, _| ledger.drop_owner(before));
                 }
                 pause_ms = REDIAL_MS.0;
-                leased.links.connected_to(peer, link.entry, leased.clock.now_ms());
+                agent.links.connected_to(peer, link.entry, agent.clock.now_ms());
                 let end = link.run(reader, writer).await;
-                leased.links.disconnected_from(peer, leased.clock.now_ms());
-                if matches!(end, LinkEnd::LetGo) {
-                    leased.change(|ledger, _| ledger.drop_owner(link.entry));
+                agent.links.disconnected_from(peer, agent.clock.now_ms());
+                if matches!(end, LinkEnd::Released) {
+                    agent.update_ledger(|ledger, _| ledger.drop_owner(link.entry));
                 }
                 event!(Info, "link_ended", peer = peer, entry = link.entry, end = end);
             }
             Err(error) => {
                 event!(Debug, "dial_failed", peer = peer, error = error);
-                leased.links.failed(peer, leased.clock.now_ms());
+                agent.links.failed(peer, agent.clock.now_ms());
                 sleep(jittered(pause_ms)).await;
                 pause_ms = (pause_ms * 2).min(REDIAL_MS.1);
             }
--- a/crates/agent/src/leased/mod.rs
+++ b/crates/agent/src/leased/mod.rs
@@ -1,7 +1,7 @@
-//! An agent beside an upstream that runs tasks under leases.
+//! Agent for an upstream that runs tasks only while the agent renews their lease.
 //!
-//! [`LeasedAgent`] holds the ledger and acts on its decisions; [`lease`] renews the
-//! lease and learns of ends; [`links`] keeps the connections to entries.
+//! [`LeasedAgent`] holds the ledger and carries out its decisions, [`lease`] renews the
+//! lease and collects the ends of runs, and [`links`] keeps the connections to entries.
 
 mod lease;
 mod links;
@@ -30,30 +30,29 @@
     tokio::sync::{Notify, watch},
 };
 
-/// Pause between looks at what is due by time. Waiting tasks are started by
-/// events; only time-outs wait for it.
+/// Interval of the time-driven checks. Only timeouts wait for it: events start waiting tasks.
 const TICK: Duration = Duration::from_millis(25);
-/// One line a second tells the load that entries place by.
+/// The agent logs once a second the load that entries use for placement.
 const TICKS_PER_LOAD_LINE: u64 = 40;
-/// Pause between looks at whether a planned stop is complete.
+/// Interval between checks whether a planned stop is complete.
 const DRAIN_POLL: Duration = Duration::from_millis(20);
 
-/// What an agent of leased runs needs to know.
+/// Settings of an agent for leased runs.
 #[derive(Clone, Debug)]
 pub struct LeasedAgentSettings {
-    /// Name, the same over restarts.
+    /// Name of the agent, which stays the same over restarts.
     pub name: String,
-    /// Own data centre.
+    /// Data centre of the agent.
     pub data_centre: String,
-    /// Addresses of entries to dial first.
+    /// Addresses of the entries that the agent dials first.
     pub seeds: Vec<SocketAddr>,
-    /// Figures of the ledger.
+    /// Limits and time spans of the ledger.
     pub limits: LedgerLimits,
-    /// How many links to entries there are.
+    /// Limits for the number of links to entries.
     pub links: LinkLimits,
 }
 
-/// An agent of leased runs.
+/// An agent for leased runs.
 pub struct LeasedAgent {
     pub(crate) settings: LeasedAgentSettings,
     pub(crate) incarnation: Incarnation,
@@ -62,22 +61,22 @@
     pub(crate) ledger: Mutex<Ledger>,
     links: links::Links,
     pub(crate) configuration: Mutex<Option<ConfigurationCopy>>,
-    /// Evacuated data centres in force, to pass on.
+    /// Evacuations in force, which the agent passes on to entries.
     pub(crate) evacuations: Mutex<Evacuations>,
-    /// Counts changes that links may have to tell of.
+    /// Counts changes that links may have to send to entries.
     pub(crate) changes: watch::Sender<u64>,
-    /// The upstream's life has changed.
-    pub(crate) life_changed: Notify,
-    /// The last life that was announced.
-    lives: watch::Sender<Option<UpstreamInstance>>,
-    /// Entries that were dropped last, as silent: links to them end.
+    /// Signals that another instance of the upstream is known.
+    pub(crate) instance_changed: Notify,
+    /// The last announced instance that has answered a renewal.
+    announced_instance: watch::Sender<Option<UpstreamInstance>>,
+    /// Entries that the ledger dropped last because they were silent; links to them end.
     pub(crate) dropped_owners: watch::Sender<Vec<Incarnation>>,
-    /// A renewal is wanted at once, for what it lists.
-    pub(crate) look_now: Notify,
+    /// Requests an immediate renewal, whose answer lists the runs of the upstream.
+    pub(crate) renew_now: Notify,
 }
 
 impl LeasedAgent {
-    /// Starts the agent's tasks on the present runtime.
+    /// Starts the agent on the current Tokio runtime.
     #[must_use]
     pub fn start(
         settings: LeasedAgentSettings,
@@ -86,14 +85,14 @@
         Self::start_with_clock(settings, upstream_client, Clock::start())
     }
 
-    /// The same with a clock of the caller's.
+    /// Like [`Self::start`], with the given clock.
     #[must_use]
     pub fn start_with_clock(
         settings: LeasedAgentSettings,
         upstream_client: Box<dyn UpstreamClient>,
         clock: Clock,
     ) -> Arc<Self> {
-        let leased = Arc::new(Self {
+        let agent = Arc::new(Self {
             ledger: Mutex::new(Ledger::new(settings.limits)),
             links: links::Links::new(settings.links),
             settings,
@@ -103,51 +102,52 @@
             configuration: Mutex::new(None),
             evacuations: Mutex::default(),
             changes: watch::Sender::new(0),
-            life_changed: Notify::new(),
-            lives: watch::Sender::new(None),
+            instance_changed: Notify::new(),
+            announced_instance: watch::Sender::new(None),
             dropped_owners: watch::Sender::new(Vec::new()),
-            look_now: Notify::new(),
+            renew_now: Notify::new(),
         });
-        tokio::spawn(lease::keep(Arc::clone(&leased)));
-        tokio::spawn(tick(Arc::clone(&leased)));
-        leased.add_entries(&leased.settings.seeds);
-        tokio::spawn(links::keep_chosen(Arc::clone(&leased)));
+        tokio::spawn(lease::keep_lease(Arc::clone(&agent)));
+        tokio::spawn(tick(Arc::clone(&agent)));
+        agent.add_entries(&agent.settings.seeds);
+        tokio::spawn(links::choose_links(Arc::clone(&agent)));
         event!(
             Info,
             "agent_started",
-            name = leased.settings.name,
-            incarnation = leased.incarnation,
-            seeds = leased.settings.seeds.len(),
+            name = agent.settings.name,
+            incarnation = agent.incarnation,
+            seeds = agent.settings.seeds.len(),
         );
-        leased
+        agent
     }
 
-    /// Entries may be reached at these addresses too.
+    /// Adds addresses at which entries may be reached.
     pub fn add_entries(&self, entries: &[SocketAddr]) {
         self.links.learn(entries, self.clock.now_ms());
     }
 
-    /// Entries connected now.
+    /// Returns the number of connected entries.
     #[must_use]
     pub fn connected_entries(&self) -> usize {
         self.links.connected()
     }
 
-    /// The last life of the upstream that was announced, as it changes.
+    /// Returns a receiver of the last announced instance of the upstream.
     #[must_use]
     pub fn subscribe_instance(&self) -> watch::Receiver<Option<UpstreamInstance>> {
-        self.lives.subscribe()
+        self.announced_instance.subscribe()
     }
 
-    /// The upstream announced itself.
+    /// Handles an announcement of the upstream.
     ///
-    /// An announcement of another life than the one that answers renewals is not believed
-    /// until an answer shows that life: it may have been sent by an earlier one, and held up.
-    /// Nor is one that puts a known life into another pool: a life stays in its pool.
-    pub fn upstream_announced(self: &Arc<Self>, life: UpstreamInstance) {
-        let (id, pool, leaving) = (life.id.clone(), life.pool.clone(), life.leaving);
-        let cpu_milli = life.capacity.cpu_milli;
-        match self.change(|ledger, now_ms| ledger.handle_announcement(life, now_ms)) {
+    /// If the announced instance is not the one that answers renewals, the agent ignores the
+    /// announcement until that instance answers: a delayed announcement may come from an
+    /// earlier instance. It also ignores one that moves a known instance to another pool,
+    /// because an instance never changes its pool.
+    pub fn upstream_announced(self: &Arc<Self>, instance: UpstreamInstance) {
+        let (id, pool, leaving) = (instance.id.clone(), instance.pool.clone(), instance.leaving);
+        let cpu_milli = instance.capacity.cpu_milli;
+        match self.update_ledger(|ledger, now_ms| ledger.handle_announcement(instance, now_ms)) {
             AnnouncementOutcome::Unchanged => {}
             AnnouncementOutcome::Accepted => {
                 event!(
@@ -157,12 +157,12 @@
                     leaving = leaving,
                     cpu_milli = cpu_milli
                 );
-                self.life_changed.notify_one();
+                self.instance_changed.notify_one();
             }
             AnnouncementOutcome::Doubted => {
                 metrics::counter!("sycamorerail_announcements_doubted_total").increment(1);
                 event!(Info, "announcement_doubted", life = id);
-                self.look_now.notify_one();
+                self.renew_now.notify_one();
             }
             AnnouncementOutcome::Ignored => {
                 event!(Info, "announcement_ignored", life = id, pool = pool)
@@ -170,76 +170,83 @@
         }
     }
 
-    /// A life of the upstream announced that it is slow for so many milliseconds more.
-    pub fn upstream_cold(self: &Arc<Self>, life: InstanceId, left_ms: u64) {
-        self.change(|ledger, now_ms| ledger.handle_cold_announcement(life, left_ms, now_ms));
+    /// Handles an instance's notice that it stays slow after its start for `left_ms` more.
+    pub fn upstream_cold(self: &Arc<Self>, instance: InstanceId, left_ms: u64) {
+        self.update_ledger(|ledger, now_ms| {
+            ledger.handle_cold_announcement(instance, left_ms, now_ms)
+        });
     }
 
-    /// Uses the upstream's life as it was known to an earlier run of this agent, until
-    /// the upstream announces itself: a restarted agent then starts tasks at once.
+    /// Uses the upstream instance that an earlier run of this agent knew until the upstream
+    /// announces itself, so that a restarted agent can start tasks at once.
     ///
-    /// Later too: late orders of the earlier run are below the fence from then on.
-    pub fn restore_upstream(self: &Arc<Self>, life: UpstreamInstance) {
-        let is_unknown = self.change(|ledger, _| {
-            ledger.restore_fence(&life);
+    /// If an instance is known already, only the fence is raised, so that late orders of the
+    /// earlier run are below it.
+    pub fn restore_upstream(self: &Arc<Self>, instance: UpstreamInstance) {
+        let is_unknown = self.update_ledger(|ledger, _| {
+            ledger.restore_fence(&instance);
             ledger.announced_instance().is_none()
         });
         if is_unknown {
-            event!(Info, "upstream_remembered", life = life.id, leaving = life.leaving);
-            self.upstream_announced(life);
+            event!(Info, "upstream_remembered", life = instance.id, leaving = instance.leaving);
+            self.upstream_announced(instance);
         }
     }
 
-    /// The upstream says that it is gone.
+    /// Handles the upstream's notice that it is gone.
     ///
-    /// As long as it answers that is not believed: an earlier life may have said so.
+    /// The notice has no effect while the upstream still answers: an earlier instance may
+    /// have sent it.
     pub fn upstream_withdrawn(self: &Arc<Self>, id: &str) {
-        match self.change(|ledger, now_ms| ledger.handle_withdrawal(id, now_ms)) {
+        match self.update_ledger(|ledger, now_ms| ledger.handle_withdrawal(id, now_ms)) {
             WithdrawalOutcome::Accepted => event!(Info, "upstream_withdrawn", life = id),
             WithdrawalOutcome::Doubted => {
                 event!(Info, "withdrawal_doubted", life = id);
-                self.look_now.notify_one();
+                self.renew_now.notify_one();
             }
             WithdrawalOutcome::Ignored => {}
         }
     }
 
-    /// Puts evacuations into force that an entry told, unless those held were true later.
-    pub(crate) fn hold_evacuations(self: &Arc<Self>, told: &Evacuations) {
-        if !self.evacuations.lock().merge_newer(told) {
+    /// Applies evacuations received from an entry unless the known ones are newer.
+    pub(crate) fn apply_evacuations(self: &Arc<Self>, received: &Evacuations) {
+        if !self.evacuations.lock().merge_newer(received) {
             return;
         }
-        let is_evacuated = self.change(|ledger, _| {
-            // Of two that come at once the later one holds.
+        let is_evacuated = self.update_ledger(|ledger, _| {
+            // Reads the merged list: two updates may arrive at the same time, and the newer one wins.
             let is_evacuated = self.evacuations.lock().contains(&self.settings.data_centre);
             ledger.set_evacuated(is_evacuated);
             is_evacuated
         });
-        evacuation::log_in_force(told, is_evacuated);
+        evacuation::log_in_force(received, is_evacuated);
     }
 
-    /// Begins a planned stop: nothing more is started.
+    /// Begins a planned stop. The agent starts no more tasks.
     pub fn drain(self: &Arc<Self>) {
-        self.change(|ledger, _| ledger.drain());
+        self.update_ledger(|ledger, _| ledger.drain());
         event!(Info, "draining", active = self.ledger.lock().active_count());
     }
 
-    /// Waits until nothing runs and all entries know how it ended.
+    /// Waits until nothing runs and all entries have confirmed the ends of their runs.
     pub async fn wait_drained(&self) {
         while !self.ledger.lock().is_idle() {
             tokio::time::sleep(DRAIN_POLL).await;
         }
     }
 
-    /// Does something to the ledger and acts on what it decides.
-    pub(crate) fn change<T>(self: &Arc<Self>, act: impl FnOnce(&mut Ledger, u64) -> T) -> T {
-        let done = act(&mut self.ledger.lock(), self.clock.now_ms());
-        self.act();
+    /// Updates the ledger and carries out its decisions.
+    pub(crate) fn update_ledger<T>(
+        self: &Arc<Self>,
+        update: impl FnOnce(&mut Ledger, u64) -> T,
+    ) -> T {
+        let done = update(&mut self.ledger.lock(), self.clock.now_ms());
+        self.execute_decisions();
         done
     }
 
-    /// Sends the orders that are due and has the links tell what changed.
-    pub(crate) fn act(self: &Arc<Self>) {
+    /// Sends the due orders to the upstream and wakes the links to report changes.
+    pub(crate) fn execute_decisions(self: &Arc<Self>) {
         let mut ledger = self.ledger.lock();
         let now_ms = self.clock.now_ms();
         let starts: Vec<_> = std::iter::from_fn(|| ledger.next_start(now_ms)).collect();
@@ -247,47 +254,52 @@
         let decided = ledger.take_decisions();
         let target = ledger
             .current_instance()
-            .map(|life| FencedTarget { instance: life.clone(), fence: ledger.fence() });
-        self.tell_life(&ledger);
+            .map(|instance| FencedTarget { instance: instance.clone(), fence: ledger.fence() });
+        self.publish_instance(&ledger);
         drop(ledger);
         if let Some(target) = target {
             for order in starts {
-                tokio::spawn(start(Arc::clone(self), target.clone(), order, now_ms));
+                tokio::spawn(send_start(Arc::clone(self), target.clone(), order, now_ms));
             }
             for (task, run) in stops {
-                tokio::spawn(stop(Arc::clone(self), target.clone(), task, run));
+                tokio::spawn(send_stop(Arc::clone(self), target.clone(), task, run));
             }
         }
         decided.iter().for_each(log_decided);
         self.changes.send_modify(|changes| *changes += 1);
     }
 
-    /// Has what the present life announced recorded.
-    fn tell_life(&self, ledger: &Ledger) {
-        let Some(life) = ledger.proven_instance() else { return };
-        self.lives.send_if_modified(|told| {
-            let is_news = told.as_ref() != Some(life);
-            if is_news {
-                *told = Some(life.clone());
+    /// Publishes the announced instance once it has answered a renewal.
+    fn publish_instance(&self, ledger: &Ledger) {
+        let Some(instance) = ledger.proven_instance() else { return };
+        self.announced_instance.send_if_modified(|published| {
+            let is_changed = published.as_ref() != Some(instance);
+            if is_changed {
+                *published = Some(instance.clone());
             }
-            is_news
+            is_changed
         });
     }
 }
 
-/// Sends an order to start a task. One that was decided before the VM was suspended is not
-/// sent any more: the task may be elsewhere by now.
-async fn start(leased: Arc<LeasedAgent>, target: FencedTarget, order: StartOrder, decided_ms: u64) {
+/// Sends a start order to the upstream. An order decided before a suspension of the VM is
+/// refused as late, because the task may run elsewhere by now.
+async fn send_start(
+    agent: Arc<LeasedAgent>,
+    target: FencedTarget,
+    order: StartOrder,
+    decided_ms: u64,
+) {
     let (task, run) = (order.task, order.run);
-    let sent_ms = leased.clock.now_ms();
-    let is_late = sent_ms > decided_ms + leased.settings.limits.start_within_ms;
+    let sent_ms = agent.clock.now_ms();
+    let is_late = sent_ms > decided_ms + agent.settings.limits.start_within_ms;
     let answer = if is_late {
         StartAnswer::Refused(StartRefusal::Late)
     } else {
-        leased.upstream_client.start_run(target, order).await
+        agent.upstream_client.start_run(target, order).await
     };
     if answer != StartAnswer::Started {
-        let took_ms = leased.clock.now_ms() - sent_ms;
+        let took_ms = agent.clock.now_ms() - sent_ms;
         event!(
             Info,
             "start_refused",
@@ -297,25 +309,26 @@
             took_ms = took_ms
         );
     }
-    leased.change(|ledger, now_ms| ledger.handle_start_answer(task, run, answer, now_ms));
+    agent.update_ledger(|ledger, now_ms| ledger.handle_start_answer(task, run, answer, now_ms));
 }
 
-async fn stop(leased: Arc<LeasedAgent>, target: FencedTarget, task: TaskKey, run: u32) {
-    match leased.upstream_client.stop_run(target, task, run).await {
+async fn send_stop(agent: Arc<LeasedAgent>, target: FencedTarget, task: TaskKey, run: u32) {
+    match agent.upstream_client.stop_run(target, task, run).await {
         Ok(()) => {
-            leased.change(|ledger, now_ms| ledger.handle_stop_confirmation(task, run, now_ms));
-            leased.look_now.notify_one();
+            agent
+                .update_ledger(|ledger, now_ms| ledger.handle_stop_confirmation(task, run, now_ms));
+            agent.renew_now.notify_one();
         }
         Err(error) => event!(Info, "stop_failed", task = task, run = run, error = error),
     }
 }
 
 fn log_decided(decided: &RunDecision) {
-    let ran = |run_ms: u32| format!("{run_ms}ms");
+    let format_run_time = |run_ms: u32| format!("{run_ms}ms");
     let (name, why, detail) = match decided.event {
         RunEvent::Started => ("started", "", String::new()),
-        RunEvent::Done { run_ms } => ("done", "", ran(run_ms)),
-        RunEvent::Failed { run_ms } => ("failed", "", ran(run_ms)),
+        RunEvent::Done { run_ms } => ("done", "", format_run_time(run_ms)),
+        RunEvent::Failed { run_ms } => ("failed", "", format_run_time(run_ms)),
         RunEvent::Stopped => ("stopped", "", String::new()),
         RunEvent::Lost => ("lost", "", String::new()),
         RunEvent::Crashed => ("crashed", "", String::new()),
@@ -334,8 +347,8 @@
     );
 }
 
-fn log_load(leased: &LeasedAgent) {
-    let load = leased.ledger.lock().load(leased.clock.now_ms());
+fn log_load(agent: &LeasedAgent) {
+    let load = agent.ledger.lock().load(agent.clock.now_ms());
     event!(
         Info,
         "load",
@@ -344,21 +357,21 @@
         waiting = load.waiting,
         slowness_percent = load.slowness_percent,
         failing_percent = load.failing_percent,
-        entries = leased.connected_entries(),
+        entries = agent.connected_entries(),
     );
 }
 
-/// Does what is due by time alone.
-async fn tick(leased: Arc<LeasedAgent>) {
+/// Runs the time-driven checks of the ledger.
+async fn tick(agent: Arc<LeasedAgent>) {
     let mut ticks = tokio::time::interval(TICK);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     for count in 0_u64.. {
         ticks.tick().await;
         if count.is_multiple_of(TICKS_PER_LOAD_LINE) {
-            log_load(&leased);
+            log_load(&agent);
         }
-        let suspended_ms = leased.clock.suspended_ms();
-        let silent = leased.change(|ledger, now_ms| {
+        let suspended_ms = agent.clock.suspended_ms();
+        let silent = agent.update_ledger(|ledger, now_ms| {
             ledger.note_suspension(suspended_ms, now_ms);
             ledger.check_lease_lapse(now_ms);
             ledger.drop_expired(now_ms);
@@ -368,7 +381,7 @@
             event!(Warn, "entry_silent", entry = entry, suspended_ms = suspended_ms);
         }
         if !silent.is_empty() {
-            leased.dropped_owners.send_replace(silent);
+            agent.dropped_owners.send_replace(silent);
         }
     }
 }
--- a/crates/agent/src/leased/upstream_client.rs
+++ b/crates/agent/src/leased/upstream_client.rs
@@ -1,4 +1,4 @@
-//! What an agent asks of an upstream that runs tasks under leases.
+//! Interface to an upstream that runs tasks under leases.
 
 use {
     futures::future::BoxFuture,
@@ -7,54 +7,56 @@
     sycamorerail_wire::runs::{InstanceId, TaskKey},
 };
 
-/// On whose behalf a call is made.
+/// The instance that a call addresses, with the fence (fencing token) of the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FencedTarget {
-    /// The upstream's life for which the call is meant.
+    /// Instance of the upstream that must carry out the call.
     pub instance: InstanceId,
-    /// The upstream does nothing for a lower number than the highest it saw.
+    /// The upstream refuses calls whose fence is lower than the highest it has seen.
     pub fence: u64,
 }
 
-/// Renewal of the lease under which everything on an upstream runs.
+/// Renewal of the lease under which all runs of an upstream execute.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseRenewal {
-    /// On the upstream's clock; `None` leaves the lease as it is.
+    /// New end of the lease by the upstream's clock; `None` leaves the lease unchanged.
     pub lease_until_clock_ms: Option<u64>,
-    /// Ends up to this number need not be told again.
+    /// The upstream need not report ends up to this number again.
     pub acknowledged_through: u64,
-    /// The answer may wait this long for an end.
+    /// How long the upstream may delay its answer to wait for an end.
     pub wait_ms: u32,
 }
 
-/// Why a call to the upstream brought nothing.
+/// Why a call to the upstream failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallError {
-    /// An upstream of another id answered.
+    /// An upstream with another id answered.
     OtherInstance,
-    /// A higher fence was seen.
+    /// The upstream has seen a higher fence.
     Fenced {
-        /// The upstream's clock.
+        /// The upstream's clock in its answer.
         clock_ms: u64,
     },
-    /// Nobody listens there: the upstream's process is gone.
+    /// The connection was refused: the upstream's process is gone.
     NoListener,
-    /// No whole answer came in time.
+    /// No complete answer arrived in time.
     TimedOut(String),
-    /// The connection ended before the answer.
+    /// The connection ended before a complete answer arrived.
     ConnectionLost(String),
-    /// The answer was none that is expected.
+    /// The answer had an unexpected status or could not be decoded.
     UnexpectedAnswer(String),
 }
 
 impl fmt::Display for CallError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::OtherInstance => f.write_str("an upstream of another id answered"),
-            Self::Fenced { clock_ms } => write!(f, "fenced at its clock {clock_ms} ms"),
-            Self::NoListener => f.write_str("nobody listens"),
+            Self::OtherInstance => f.write_str("an upstream with another id answered"),
+            Self::Fenced { clock_ms } => {
+                write!(f, "refused by a higher fence at upstream clock {clock_ms} ms")
+            }
+            Self::NoListener => f.write_str("connection refused"),
             Self::TimedOut(why) => write!(f, "no answer: {why}"),
-            Self::ConnectionLost(why) => write!(f, "connection broken: {why}"),
+            Self::ConnectionLost(why) => write!(f, "connection lost: {why}"),
             Self::UnexpectedAnswer(why) => write!(f, "unexpected answer: {why}"),
         }
     }
@@ -64,16 +66,16 @@
 
 /// Calls to one upstream.
 pub trait UpstreamClient: Send + Sync + 'static {
-    /// Starts a task.
+    /// Starts a run of a task.
     fn start_run(&self, target: FencedTarget, order: StartOrder) -> BoxFuture<'_, StartAnswer>;
-    /// Stops a run, or makes sure that it never starts.
+    /// Stops a run, or ensures that it never starts.
     fn stop_run(
         &self,
         target: FencedTarget,
         task: TaskKey,
         run: u32,
     ) -> BoxFuture<'_, Result<(), CallError>>;
-    /// Renews the lease and reads what runs and what ended.
+    /// Renews the lease and returns the running and the ended runs.
     fn renew_lease(
         &self,
         target: FencedTarget,
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -1,11 +1,11 @@
-//! `sycamorerail-agent`: runs beside an upstream, holds the start gate, calls
-//! the upstream, and keeps what became of each task for a while.
+//! `sycamorerail-agent` runs beside an upstream. It decides through the start gate which
+//! tasks may start, calls the upstream, and keeps the result of each task for a while.
 
 pub mod agent;
 pub mod exit;
 pub mod options;
 
-mod announced;
+mod announced_upstream;
 mod announcement;
 mod call;
 mod core;
--- a/crates/agent/src/main.rs
+++ b/crates/agent/src/main.rs
@@ -1,4 +1,4 @@
-//! Runs an agent until it is told to stop.
+//! Runs an agent until a signal stops it.
 
 use {
     std::process::ExitCode,
@@ -45,13 +45,13 @@
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
     let agent = Agent::start(settings, Box::new(move || page.render())).await?;
-    let signal = first_of(&mut terminate, &mut interrupt).await;
+    let signal = first_signal(&mut terminate, &mut interrupt).await;
     event!(Info, "stop_asked", signal = signal);
     let stopped = agent.stop().await;
     Ok(if stopped.cut == 0 { Exit::Stopped } else { Exit::CutWork })
 }
 
-async fn first_of(terminate: &mut Signal, interrupt: &mut Signal) -> &'static str {
+async fn first_signal(terminate: &mut Signal, interrupt: &mut Signal) -> &'static str {
     tokio::select! {
         _ = terminate.recv() => "SIGTERM",
         _ = interrupt.recv() => "SIGINT",
--- a/crates/agent/src/options.rs
+++ b/crates/agent/src/options.rs
@@ -1,4 +1,4 @@
-//! Command line of `sycamorerail-agent`.
+//! Command-line options of `sycamorerail-agent`.
 
 use {argh::FromArgs, std::path::PathBuf};
 
@@ -14,8 +14,7 @@
     pub check: bool,
 }
 
-/// Reads the process's options; ends the process where they are wrong or help
-/// was asked for.
+/// Parses the command line. Exits the process if it is invalid or asks for help.
 #[must_use]
 pub fn from_command_line() -> Options {
     argh::from_env()
--- a/crates/agent/src/serve.rs
+++ b/crates/agent/src/serve.rs
@@ -1,8 +1,8 @@
-//! Requests of an entry, one a stream.
+//! Requests from an entry, one per stream.
 
 use {
     crate::{
-        core::{Core, Pending},
+        core::{Core, PendingReply},
         counters,
         entries::Entries,
         session::Session,
@@ -21,8 +21,8 @@
     tokio::sync::oneshot,
 };
 
-/// Takes streams of the session's entry until the connection ends.
-pub(crate) async fn accept(
+/// Accepts streams from the session's entry until the connection ends.
+pub(crate) async fn serve_streams(
     core: &Arc<Core>,
     entries: &Arc<Entries>,
     session: &Arc<Session>,
@@ -30,28 +30,28 @@
     loop {
         match session.connection.accept_bi().await {
             Ok((send, recv)) => {
-                let serving = Serving {
+                let handler = StreamHandler {
                     core: Arc::clone(core),
                     entries: Arc::clone(entries),
                     session: Arc::clone(session),
                 };
-                tokio::spawn(serving.serve(send, recv));
+                tokio::spawn(handler.serve(send, recv));
             }
             Err(err) => return SessionError::Broken(session.peer, err.to_string()),
         }
     }
 }
 
-/// What serves one stream.
-struct Serving {
+/// Serves one stream.
+struct StreamHandler {
     core: Arc<Core>,
     entries: Arc<Entries>,
     session: Arc<Session>,
 }
 
-impl Serving {
-    /// Serves one stream. A task goes on when its stream ends: only what the
-    /// entry says, never that it fell silent, revokes it.
+impl StreamHandler {
+    /// Reads the request and writes the reply. A task goes on when its stream ends: only an
+    /// explicit request from the entry revokes a task, never a lost connection.
     async fn serve(self, mut send: SendStream, mut recv: RecvStream) {
         let peer = self.session.peer;
         let request = match session::read_request(peer, &mut recv).await {
@@ -59,27 +59,27 @@
             Err(err) => return event!(Debug, "request_lost", peer = peer, error = err),
         };
         let _due = ReplyDue::new(&self.core);
-        let Some(body) = self.decide(request).await else {
+        let Some(body) = self.handle(request).await else {
             return;
         };
         let reply = self.core.reply(body);
-        self.session.sent(self.core.clock.now_ms());
-        if let Err(err) = deliver(peer, &mut send, &reply).await {
+        self.session.note_sent(self.core.clock.now_ms());
+        if let Err(err) = write_confirmed_reply(peer, &mut send, &reply).await {
             self.core.note_activity();
             event!(Debug, "reply_lost", peer = peer, error = err);
         }
     }
 
-    async fn decide(&self, request: ToAgent) -> Option<AgentReplyBody> {
+    async fn handle(&self, request: ToAgent) -> Option<AgentReplyBody> {
         let core = &self.core;
-        counters::request(name(&request));
+        counters::request(message_label(&request));
         match request {
             ToAgent::Place(placement) => {
                 match core.place(|| self.session.is_current(), placement)? {
-                    Pending::Now(reply) => Some(reply),
-                    Pending::Later(told) => told.await.ok(),
-                    Pending::Queued { told, start_within } => {
-                        wait_in_queue(core, told, start_within).await
+                    PendingReply::Ready(reply) => Some(reply),
+                    PendingReply::InFlight(reply) => reply.await.ok(),
+                    PendingReply::Queued { reply, start_within } => {
+                        wait_queued(core, reply, start_within).await
                     }
                 }
             }
@@ -92,20 +92,20 @@
             ToAgent::Probe => Some(AgentReplyBody::Probed),
             ToAgent::EntryStarted { address, incarnation } => {
                 event!(Info, "entry_started", peer = address, run = incarnation);
-                self.entries.started(core, address, incarnation);
+                self.entries.entry_started(core, address, incarnation);
                 Some(AgentReplyBody::Acknowledged)
             }
-            ToAgent::Evacuations(told) => {
-                self.session.take_evacuations(core, &told);
+            ToAgent::Evacuations(received) => {
+                self.session.apply_evacuations(core, &received);
                 Some(AgentReplyBody::Acknowledged)
             }
         }
     }
 }
 
-/// Returns when the entry has all of the reply: until then a planned stop must
-/// not close the session.
-async fn deliver(
+/// Writes the reply and waits until the entry has received all of it. Until then a planned
+/// stop must not close the session.
+async fn write_confirmed_reply(
     peer: SocketAddr,
     send: &mut SendStream,
     reply: &AgentReply,
@@ -115,19 +115,19 @@
     Ok(())
 }
 
-async fn wait_in_queue(
+async fn wait_queued(
     core: &Arc<Core>,
-    mut told: oneshot::Receiver<AgentReplyBody>,
+    mut reply: oneshot::Receiver<AgentReplyBody>,
     start_within: Duration,
 ) -> Option<AgentReplyBody> {
-    if let Ok(told) = tokio::time::timeout(start_within, &mut told).await {
-        return told.ok();
+    if let Ok(received) = tokio::time::timeout(start_within, &mut reply).await {
+        return received.ok();
     }
     core.expire();
-    told.await.ok()
+    reply.await.ok()
 }
 
-fn name(request: &ToAgent) -> &'static str {
+fn message_label(request: &ToAgent) -> &'static str {
     match request {
         ToAgent::Place(_) => "place",
         ToAgent::Revoke { .. } => "revoke",
@@ -138,7 +138,7 @@
     }
 }
 
-/// Counts a stream whose reply is not delivered yet.
+/// Counts a stream as due a reply until dropped.
 struct ReplyDue(Arc<Core>);
 
 impl ReplyDue {
--- a/crates/agent/src/session.rs
+++ b/crates/agent/src/session.rs
@@ -1,4 +1,4 @@
-//! Sessions with entries: dialled by the agent, kept for ever.
+//! Sessions with entries, which the agent dials and keeps open.
 
 use {
     crate::{core::Core, counters, entries::Entries, pause::jittered, serve},
@@ -25,25 +25,25 @@
     tokio::sync::watch,
 };
 
-const CONNECT_WITHIN: Duration = Duration::from_secs(3);
-const HELLO_WITHIN: Duration = Duration::from_secs(5);
-/// An entry is told of evacuations once it has had this long to tell of them itself:
-/// most entries hear of them from the platform.
-const TELL_EVACUATIONS_AFTER: Duration = Duration::from_millis(200);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(3);
+const HELLO_TIMEOUT: Duration = Duration::from_secs(5);
+/// The agent sends evacuations to an entry after this delay, because most entries learn them
+/// from the platform in the meantime.
+const EVACUATIONS_DELAY: Duration = Duration::from_millis(200);
 const FIRST_BACKOFF_MS: u64 = 50;
 const MAX_BACKOFF_MS: u64 = 3_000;
 
-/// A session with one run of an entry.
+/// A session with one incarnation of an entry.
 pub(crate) struct Session {
     pub(crate) connection: Connection,
     pub(crate) peer: SocketAddr,
     pub(crate) incarnation: Incarnation,
     current: AtomicBool,
     sent_at_ms: AtomicU64,
-    told_change: AtomicU64,
-    /// Evacuations that the entry is known to hold.
+    confirmed_change: AtomicU64,
+    /// Evacuations that the entry is known to have.
     entry_evacuations: Mutex<Evacuations>,
-    /// The entries that this one listed last.
+    /// Entries in the last list that this entry sent.
     listed: Mutex<Vec<SocketAddr>>,
     counted_sent_bytes: AtomicU64,
     counted_received_bytes: AtomicU64,
@@ -57,7 +57,7 @@
             incarnation,
             current: AtomicBool::new(true),
             sent_at_ms: AtomicU64::new(now_ms),
-            told_change: AtomicU64::new(0),
+            confirmed_change: AtomicU64::new(0),
             entry_evacuations: Mutex::default(),
             listed: Mutex::default(),
             counted_sent_bytes: AtomicU64::new(0),
@@ -65,22 +65,22 @@
         }
     }
 
-    /// Placements are taken only while this holds. It ends before the agent
-    /// dials again, so that a copy left over from this session can never
-    /// follow what the entry did over the next one.
+    /// Returns whether the session still accepts placements. It stops before the agent dials
+    /// again, so that a placement left over from this session is never handled after one of
+    /// the next session.
     pub(crate) fn is_current(&self) -> bool {
         self.current.load(Ordering::Acquire)
     }
 
-    /// Takes no placement any more.
+    /// Refuses further placements and closes the connection.
     pub(crate) fn retire(&self, why: &'static str) {
         self.current.store(false, Ordering::Release);
         self.connection.close(0u32.into(), why.as_bytes());
     }
 
-    /// Whether the entry has confirmed a hello with this change or a later one.
-    pub(crate) fn knows_change(&self, change: u64) -> bool {
-        self.told_change.load(Ordering::Acquire) >= change
+    /// Returns whether the entry has confirmed a hello with this change or a later one.
+    pub(crate) fn has_confirmed(&self, change: u64) -> bool {
+        self.confirmed_change.load(Ordering::Acquire) >= change
     }
 
     fn count_packets(&self) {
@@ -92,43 +92,47 @@
         );
     }
 
-    /// Takes the members that the entry told of; `None` for those it told last.
-    fn take_members(&self, core: &Arc<Core>, entries: &Arc<Entries>, told: Option<MemberList>) {
+    /// Applies the entry's list of members; `None` means that the list is unchanged.
+    fn apply_members(
+        &self,
+        core: &Arc<Core>,
+        entries: &Arc<Entries>,
+        received: Option<MemberList>,
+    ) {
         let mut listed = self.listed.lock();
-        if let Some(members) = told {
+        if let Some(members) = received {
             *listed = members.entries;
         }
-        entries.listed(core, &listed);
+        entries.add_listed(core, &listed);
     }
 
-    /// Takes evacuations that the entry told of.
-    pub(crate) fn take_evacuations(&self, core: &Arc<Core>, told: &Evacuations) {
-        self.entry_holds([Some(told)]);
-        core.hold_evacuations(told);
+    /// Applies evacuations received from the entry.
+    pub(crate) fn apply_evacuations(&self, core: &Arc<Core>, received: &Evacuations) {
+        self.note_entry_evacuations([Some(received)]);
+        core.apply_evacuations(received);
     }
 
-    /// Notes evacuations that the entry told or was told.
-    fn entry_holds<const N: usize>(&self, evacuations: [Option<&Evacuations>; N]) {
+    /// Records evacuations that were received from or sent to the entry.
+    fn note_entry_evacuations<const N: usize>(&self, evacuations: [Option<&Evacuations>; N]) {
         let mut held = self.entry_evacuations.lock();
         for newer in evacuations.into_iter().flatten() {
             held.merge_newer(newer);
         }
     }
 
-    /// Whether the entry lacks evacuations that are in force here.
+    /// Returns whether the entry lacks evacuations that are in force at the agent.
     fn lacks_evacuations(&self, core: &Core) -> bool {
         core.evacuations.borrow().is_update_to(&self.entry_evacuations.lock())
     }
 
-    /// Notes that the entry was sent the agent's load.
-    pub(crate) fn sent(&self, now_ms: u64) {
+    /// Records that the agent's load was sent to the entry.
+    pub(crate) fn note_sent(&self, now_ms: u64) {
         self.sent_at_ms.fetch_max(now_ms, Ordering::AcqRel);
     }
 }
 
-/// Keeps a session with the entry at `peer` until the entry is no longer
-/// listed anywhere.
-pub(crate) async fn keep(
+/// Keeps a session with the entry at `peer` until no entry lists it any more.
+pub(crate) async fn keep_session(
     core: Arc<Core>,
     entries: Arc<Entries>,
     endpoint: Endpoint,
@@ -136,10 +140,10 @@
 ) {
     let mut backoff_ms = FIRST_BACKOFF_MS;
     loop {
-        match run(&core, &entries, &endpoint, peer).await {
+        match run_session(&core, &entries, &endpoint, peer).await {
             Ok(incarnation) => {
                 backoff_ms = FIRST_BACKOFF_MS;
-                entries.while_open(incarnation).await;
+                entries.wait_while_connected(incarnation).await;
             }
             Err(err) => {
                 counters::session("failed");
@@ -155,85 +159,86 @@
     }
 }
 
-/// One session from its dialling to its end; returns the entry's run.
-async fn run(
+/// Runs one session from dialling to its end; returns the incarnation of the entry.
+async fn run_session(
     core: &Arc<Core>,
     entries: &Arc<Entries>,
     endpoint: &Endpoint,
     peer: SocketAddr,
 ) -> Result<Incarnation, SessionError> {
-    let connection = session::connect(endpoint, peer, Role::Entry, CONNECT_WITHIN).await?;
+    let connection = session::connect(endpoint, peer, Role::Entry, CONNECT_TIMEOUT).await?;
     session::allow_streams(&connection, session::PLACEMENT_STREAMS);
     let changes = core.changes.subscribe();
     let change = *changes.borrow();
-    let (told, welcome) = say_hello(core, &connection).await?;
-    core.welcomed(&welcome);
+    let (sent, welcome) = send_hello(core, &connection).await?;
+    core.apply_welcome(&welcome);
     let session = Arc::new(Session::new(connection, welcome.incarnation, core.clock.now_ms()));
-    session.entry_holds([Some(&told), welcome.evacuations.as_ref()]);
-    session.told_change.store(change, Ordering::Release);
-    entries.open(&session);
-    session.take_members(core, entries, welcome.members);
+    session.note_entry_evacuations([Some(&sent), welcome.evacuations.as_ref()]);
+    session.confirmed_change.store(change, Ordering::Release);
+    entries.add_session(&session);
+    session.apply_members(core, entries, welcome.members);
     counters::session("opened");
     event!(Info, "session_opened", peer = peer, entry = session.incarnation);
     let ended = tokio::select! {
-        ended = serve::accept(core, entries, &session) => ended,
-        ended = keep_told(core, entries, &session, changes) => ended,
+        ended = serve::serve_streams(core, entries, &session) => ended,
+        ended = send_updates(core, entries, &session, changes) => ended,
     };
     session.retire("session ended");
-    entries.close(&session);
+    entries.remove_session(&session);
     session.count_packets();
     counters::session("ended");
     event!(Info, "session_ended", peer = peer, entry = session.incarnation, error = ended);
     Ok(session.incarnation)
 }
 
-/// Says hello again when the upstream changes, and beats when idle.
-async fn keep_told(
+/// Sends a hello after each change and a heartbeat when the session is idle.
+async fn send_updates(
     core: &Arc<Core>,
     entries: &Arc<Entries>,
     session: &Session,
     mut changes: watch::Receiver<u64>,
 ) -> SessionError {
     loop {
-        let told = tokio::select! {
+        let result = tokio::select! {
             _ = changes.changed() => {
                 let change = *changes.borrow_and_update();
-                let told = greet(core, session).await;
-                told.inspect(|_| session.told_change.store(change, Ordering::Release))
+                let result = repeat_hello(core, session).await;
+                result.inspect(|_| session.confirmed_change.store(change, Ordering::Release))
             }
-            () = evacuations_due(core, session) => greet(core, session).await,
-            () = beat_due(core, session) => beat(core, &session.connection).await,
+            () = evacuations_due(core, session) => repeat_hello(core, session).await,
+            () = heartbeat_due(core, session) => send_heartbeat(core, &session.connection).await,
         };
         session.count_packets();
-        match told {
+        match result {
             Ok(welcome) => {
-                session.sent(core.clock.now_ms());
-                core.welcomed(&welcome);
-                session.entry_holds([welcome.evacuations.as_ref()]);
-                session.take_members(core, entries, welcome.members);
+                session.note_sent(core.clock.now_ms());
+                core.apply_welcome(&welcome);
+                session.note_entry_evacuations([welcome.evacuations.as_ref()]);
+                session.apply_members(core, entries, welcome.members);
             }
             Err(err) => return err,
         }
     }
 }
 
-/// Waits until a heartbeat is due: nothing was sent to this entry for the
-/// pause of heartbeats, or it is this session's turn to ask for the list of
-/// entries, which busy pairs would never learn otherwise.
-async fn beat_due(core: &Core, session: &Session) {
+/// Waits until a heartbeat is due: nothing was sent to this entry for the heartbeat interval,
+/// or this session must ask for the list of entries. Without the latter an agent with busy
+/// sessions would never learn the list.
+async fn heartbeat_due(core: &Core, session: &Session) {
     let pause_ms = u64::from(core.settings.heartbeat_ms);
     loop {
         let now_ms = core.clock.now_ms();
-        let beat_at_ms = session.sent_at_ms.load(Ordering::Acquire) + pause_ms;
-        if now_ms >= beat_at_ms || core.takes_turn_to_ask(now_ms) {
+        let heartbeat_at_ms = session.sent_at_ms.load(Ordering::Acquire) + pause_ms;
+        if now_ms >= heartbeat_at_ms || core.claim_members_request(now_ms) {
             return;
         }
-        let next_ms = beat_at_ms.min(core.ask_at_ms()).saturating_sub(now_ms).max(1);
+        let next_ms =
+            heartbeat_at_ms.min(core.members_request_due_ms()).saturating_sub(now_ms).max(1);
         tokio::time::sleep(Duration::from_millis(next_ms)).await;
     }
 }
 
-/// Waits until the entry is to be told of evacuations.
+/// Waits until evacuations must be sent to the entry.
 async fn evacuations_due(core: &Core, session: &Session) {
     let mut changes = core.evacuations.subscribe();
     loop {
@@ -242,45 +247,49 @@
                 return std::future::pending().await;
             }
         }
-        tokio::time::sleep(TELL_EVACUATIONS_AFTER).await;
+        tokio::time::sleep(EVACUATIONS_DELAY).await;
         if session.lacks_evacuations(core) {
             return;
         }
     }
 }
 
-/// Says hello again.
-async fn greet(core: &Core, session: &Session) -> Result<EntryWelcome, SessionError> {
-    let (told, welcome) = say_hello(core, &session.connection).await?;
-    session.entry_holds([Some(&told)]);
+/// Sends another hello and records the evacuations in it.
+async fn repeat_hello(core: &Core, session: &Session) -> Result<EntryWelcome, SessionError> {
+    let (sent, welcome) = send_hello(core, &session.connection).await?;
+    session.note_entry_evacuations([Some(&sent)]);
     Ok(welcome)
 }
 
-/// Returns the evacuations that the hello told, too.
-async fn say_hello(
+/// Sends a hello. Returns the evacuations in it and the entry's welcome.
+async fn send_hello(
     core: &Core,
     connection: &Connection,
 ) -> Result<(Evacuations, EntryWelcome), SessionError> {
     let hello = core.hello();
-    let told = hello.evacuations.clone();
-    let welcome = tell(core, connection, "hello", &FromAgent::Hello(Box::new(hello))).await?;
-    Ok((told, welcome))
+    let sent = hello.evacuations.clone();
+    let welcome =
+        send_message(core, connection, "hello", &FromAgent::Hello(Box::new(hello))).await?;
+    Ok((sent, welcome))
 }
 
-async fn beat(core: &Core, connection: &Connection) -> Result<EntryWelcome, SessionError> {
-    let beat = FromAgent::Heartbeat { load: core.load(), config_mark: core.config_mark() };
-    tell(core, connection, "beat", &beat).await
+async fn send_heartbeat(
+    core: &Core,
+    connection: &Connection,
+) -> Result<EntryWelcome, SessionError> {
+    let heartbeat = FromAgent::Heartbeat { load: core.load(), config_mark: core.config_mark() };
+    send_message(core, connection, "beat", &heartbeat).await
 }
 
-async fn tell(
+async fn send_message(
     core: &Core,
     connection: &Connection,
     name: &'static str,
     message: &FromAgent,
 ) -> Result<EntryWelcome, SessionError> {
-    core.asks(core.clock.now_ms());
-    let welcome: EntryWelcome = session::call(connection, message, HELLO_WITHIN).await?;
-    counters::control(name, encoded_bytes(message) + encoded_bytes(&welcome));
+    core.note_members_request(core.clock.now_ms());
+    let welcome: EntryWelcome = session::call(connection, message, HELLO_TIMEOUT).await?;
+    counters::control_message(name, encoded_bytes(message) + encoded_bytes(&welcome));
     Ok(welcome)
 }
 
--- a/crates/agent/src/status.rs
+++ b/crates/agent/src/status.rs
@@ -1,4 +1,4 @@
-//! The status page, as JSON.
+//! The status page in JSON, and the readiness check.
 
 use {
     crate::{core::Core, entries::Entries},
@@ -6,7 +6,7 @@
     sycamorerail_decide::gate::UpstreamState,
 };
 
-/// How an agent stands.
+/// Status of an agent.
 #[derive(Debug, Serialize)]
 pub(crate) struct Status {
     name: String,
@@ -24,7 +24,7 @@
     kept_result_bytes: u64,
     fenced: usize,
     config_mark: u64,
-    entries: Vec<EntryLine>,
+    entries: Vec<EntryStatus>,
 }
 
 #[derive(Debug, Serialize)]
@@ -35,21 +35,21 @@
     leaving: bool,
 }
 
-/// Reply to an upstream that is leaving.
+/// Reply to an upstream that announces leaving.
 #[derive(Debug, Serialize)]
-pub(crate) struct Running {
-    /// Its tasks still running.
+pub(crate) struct RunningTasks {
+    /// Number of tasks still running on the upstream.
     pub(crate) running: usize,
 }
 
 #[derive(Debug, Serialize)]
-struct EntryLine {
+struct EntryStatus {
     incarnation: String,
     address: String,
 }
 
-/// What stands in the way of serving; `None` when nothing does.
-pub(crate) fn not_ready(core: &Core, entries: &Entries) -> Option<&'static str> {
+/// Returns why the agent is not ready, or `None` if it is ready.
+pub(crate) fn unready_reason(core: &Core, entries: &Entries) -> Option<&'static str> {
     if core.is_draining() {
         return Some("draining");
     }
@@ -63,7 +63,7 @@
     }
 }
 
-/// Collects the status.
+/// Collects the current status.
 pub(crate) fn collect(core: &Core, entries: &Entries) -> Status {
     let counts = core.counts();
     Status {
@@ -72,7 +72,7 @@
         inner_address: core.identity.address.to_string(),
         data_centre: core.identity.data_centre.clone(),
         rack: core.identity.rack.clone(),
-        ready: not_ready(core, entries).is_none(),
+        ready: unready_reason(core, entries).is_none(),
         draining: core.is_draining(),
         upstream: upstream(core),
         running: counts.running,
@@ -82,7 +82,7 @@
         kept_result_bytes: counts.kept_result_bytes,
         fenced: counts.fenced,
         config_mark: core.config_mark().0,
-        entries: entry_lines(entries),
+        entries: entry_statuses(entries),
     }
 }
 
@@ -96,8 +96,8 @@
     })
 }
 
-fn entry_lines(entries: &Entries) -> Vec<EntryLine> {
-    let line = |(incarnation, address): (_, std::net::SocketAddr)| EntryLine {
+fn entry_statuses(entries: &Entries) -> Vec<EntryStatus> {
+    let line = |(incarnation, address): (_, std::net::SocketAddr)| EntryStatus {
         incarnation: ToString::to_string(&incarnation),
         address: address.to_string(),
     };
--- a/crates/agent/src/tasks.rs
+++ b/crates/agent/src/tasks.rs
@@ -1,4 +1,4 @@
-//! The start gate with those who wait for its tasks.
+//! The start gate, with the waiters and the upstream calls of its tasks.
 
 use {
     crate::counters,
@@ -14,7 +14,7 @@
     call: Option<AbortHandle>,
 }
 
-/// All under one lock, so that a task's state and its waiters change together.
+/// One lock covers all of this, so that a task's state and its waiters change together.
 pub(crate) struct Tasks {
     pub(crate) gate: Gate,
     in_flight: HashMap<TaskId, InFlight>,
@@ -25,37 +25,37 @@
         Self { gate, in_flight: HashMap::new() }
     }
 
-    /// Waits for the end of a task that is queued or running.
+    /// Returns a receiver for the reply of a queued or running task.
     pub(crate) fn wait_for(&mut self, task: TaskId) -> oneshot::Receiver<AgentReplyBody> {
-        let (tell, told) = oneshot::channel();
-        self.in_flight.entry(task).or_default().waiters.push(tell);
-        told
+        let (sender, receiver) = oneshot::channel();
+        self.in_flight.entry(task).or_default().waiters.push(sender);
+        receiver
     }
 
-    /// Remembers the running call of a task, so that a revoke can end it.
-    pub(crate) fn calling(&mut self, task: TaskId, call: AbortHandle) {
+    /// Stores the upstream call of a running task, so that a revoke can abort it.
+    pub(crate) fn set_call(&mut self, task: TaskId, call: AbortHandle) {
         self.in_flight.entry(task).or_default().call = Some(call);
     }
 
-    /// Tells all who wait for the task.
-    pub(crate) fn tell(&mut self, settled: Settled) {
-        counters::end(&settled.reply);
+    /// Sends the reply to all waiters of a settled task.
+    pub(crate) fn settle(&mut self, settled: Settled) {
+        counters::task_end(&settled.reply);
         let Some(in_flight) = self.in_flight.remove(&settled.task) else {
             return;
         };
         for waiter in in_flight.waiters {
-            // The stream of this waiter may be gone.
+            // Fails if the stream of this waiter is gone.
             let _ = waiter.send(settled.reply.clone());
         }
     }
 
-    pub(crate) fn tell_all(&mut self, settled: Vec<Settled>) {
-        settled.into_iter().for_each(|settled| self.tell(settled));
+    pub(crate) fn settle_all(&mut self, settled: Vec<Settled>) {
+        settled.into_iter().for_each(|settled| self.settle(settled));
     }
 
-    /// Ends the call of a running task. Before its waiters are told, which
-    /// forgets the call.
-    pub(crate) fn abort(&mut self, task: &TaskId) {
+    /// Aborts the upstream call of a running task. Call it before [`Self::settle`], which
+    /// removes the call.
+    pub(crate) fn abort_call(&mut self, task: &TaskId) {
         if let Some(call) = self.in_flight.get_mut(task).and_then(|task| task.call.take()) {
             call.abort();
         }
--- a/crates/agent/src/upstream.rs
+++ b/crates/agent/src/upstream.rs
@@ -1,14 +1,14 @@
-//! The upstream beside the agent: announced, renewed, leaving, lapsed.
+//! State changes of the upstream beside the agent: announced, leaving, lease lapsed.
 
 use {
-    crate::{announced::Announced, core::Core},
+    crate::{announced_upstream::AnnouncedUpstream, core::Core},
     std::sync::Arc,
     sycamorerail_decide::gate::UpstreamState,
     sycamorerail_telemetry::event,
 };
 
-/// Takes an announcement, or renews the lease of the one in force.
-pub(crate) fn announce(core: &Arc<Core>, announced: Announced) {
+/// Applies an announcement and renews the upstream's lease.
+pub(crate) fn announce(core: &Arc<Core>, announced: AnnouncedUpstream) {
     announced.renew(core.clock.now_ms());
     let state = UpstreamState::Serving { slots: announced.info.slots };
     let before = core.upstream.load_full();
@@ -23,7 +23,7 @@
     }
 }
 
-/// Takes no new work for the upstream; what runs there goes on.
+/// Marks the upstream as leaving: the agent accepts no new tasks, and running tasks go on.
 pub(crate) fn leave(core: &Arc<Core>, why: &'static str) {
     if matches!(core.upstream_state(), UpstreamState::Serving { .. }) {
         event!(Info, "upstream_leaving", why = why);
@@ -31,7 +31,7 @@
     }
 }
 
-/// Treats an upstream whose lease has lapsed as leaving.
+/// Marks the upstream as leaving if its lease has lapsed.
 pub(crate) fn check_lease(core: &Arc<Core>) {
     let lease_ms = u64::from(core.settings.upstream_lease_ms);
     let upstream = core.upstream.load();
--- a/crates/agent/tests/http.rs
+++ b/crates/agent/tests/http.rs
@@ -1,4 +1,4 @@
-//! HTTP: announcements that are refused, health, status.
+//! HTTP server: refused announcements, health pages and status page.
 
 mod support;
 
--- a/crates/agent/tests/place.rs
+++ b/crates/agent/tests/place.rs
@@ -1,4 +1,4 @@
-//! Placements: started once, joined, ended, not started.
+//! Placements: a task starts once, copies join it, and replies tell how it ended.
 
 mod support;
 
@@ -50,12 +50,12 @@
 }
 
 #[tokio::test]
-async fn copies_join() {
+async fn copies_join_the_running_task() {
     let cluster = Cluster::start(1).await;
     let placement = cluster.placement(1, r#"{"run_ms":100}"#);
     let mut copies = Vec::new();
     for _ in 0..5 {
-        copies.push(cluster.entry.place_later(&placement).await);
+        copies.push(cluster.entry.spawn_place(&placement).await);
     }
     let first = cluster.entry.place(&placement).await;
     assert!(matches!(first, AgentReplyBody::Ended { .. }), "{first:?}");
@@ -66,12 +66,12 @@
 }
 
 #[tokio::test]
-async fn entry_hangs_up() {
+async fn task_survives_closed_connection() {
     let cluster = Cluster::start(1).await;
     let placement = cluster.placement(1, r#"{"run_ms":200}"#);
-    let lost = cluster.entry.place_later(&placement).await;
-    cluster.until_started(1).await;
-    cluster.entry.hang_up().await;
+    let lost = cluster.entry.spawn_place(&placement).await;
+    cluster.wait_until_started(1).await;
+    cluster.entry.close_connection().await;
     assert!(lost.await.is_err(), "a reply over a closed connection");
     let reply = cluster.entry.place(&placement).await;
     assert!(matches!(reply, AgentReplyBody::Ended { end: TaskEnd::Finished(_), .. }), "{reply:?}");
@@ -92,7 +92,7 @@
 }
 
 #[tokio::test]
-async fn connection_breaks() {
+async fn upstream_connection_breaks() {
     let cluster = Cluster::start(1).await;
     let faults = UpstreamFaults { drop_share: 1.0, ..Default::default() };
     cluster.upstream.set_faults(faults).await.unwrap();
@@ -105,7 +105,7 @@
 }
 
 #[tokio::test]
-async fn upstream_overruns() {
+async fn upstream_exceeds_time_limit() {
     let cluster = Cluster::start(1).await;
     let placement = Placement { end_within_ms: 300, ..cluster.placement(1, SLOW) };
     let reply = cluster.entry.place(&placement).await;
@@ -113,10 +113,10 @@
 }
 
 #[tokio::test]
-async fn window_passes() {
+async fn start_window_passes() {
     let cluster = Cluster::start(1).await;
-    let _running = cluster.entry.place_later(&cluster.placement(1, SLOW)).await;
-    cluster.until_started(1).await;
+    let _running = cluster.entry.spawn_place(&cluster.placement(1, SLOW)).await;
+    cluster.wait_until_started(1).await;
     let waits = Placement { start_within_ms: 50, ..cluster.placement(2, "{}") };
     let reply = cluster.entry.place(&waits).await;
     assert_eq!(not_started(reply), (Reason::StartWindowPassed, false));
@@ -127,12 +127,12 @@
 }
 
 #[tokio::test]
-async fn slots_bound() {
+async fn tasks_wait_for_slots() {
     let cluster = Cluster::start(2).await;
     let mut replies = Vec::new();
     for sequence in 0..6 {
         let placement = cluster.placement(sequence, r#"{"run_ms":30}"#);
-        replies.push(cluster.entry.place_later(&placement).await);
+        replies.push(cluster.entry.spawn_place(&placement).await);
     }
     for reply in replies {
         let reply = reply.await.unwrap();
@@ -142,7 +142,7 @@
 }
 
 #[tokio::test]
-async fn restarted_agent() {
+async fn placement_for_earlier_incarnation() {
     let cluster = Cluster::start(1).await;
     let earlier = placement(Incarnation(5), 1, "{}");
     let reply = cluster.entry.place(&earlier).await;
@@ -151,7 +151,7 @@
 }
 
 #[tokio::test]
-async fn unfit_kind() {
+async fn kind_with_dots() {
     let cluster = Cluster::start(1).await;
     let placement = Placement { kind: "..".to_owned(), ..cluster.placement(1, "{}") };
     assert_eq!(not_started(cluster.entry.place(&placement).await), (Reason::Invalid, false));
@@ -168,7 +168,7 @@
     assert_eq!(reason, Reason::TooLarge);
 }
 
-/// Takes calls, answers each with these bytes, and closes its connection.
+/// Accepts calls, answers each with `bytes` and closes its connection.
 async fn answer_raw(upstream: TcpListener, bytes: &'static str) {
     while let Ok((mut call, _)) = upstream.accept().await {
         let mut seen = Vec::new();
@@ -178,7 +178,7 @@
 }
 
 #[tokio::test]
-async fn raw_answers() {
+async fn unusual_upstream_answers() {
     let cluster = Cluster::start(1).await;
     let mut replies = Vec::new();
     for (sequence, answer) in [
--- a/crates/agent/tests/random_faults.rs
+++ b/crates/agent/tests/random_faults.rs
@@ -1,6 +1,5 @@
-//! Random faults: connections to the entry break, the upstream refuses and
-//! drops, tasks are revoked. What the agent said is held against what the
-//! upstream started.
+//! Random faults: connections to the entry break, the upstream refuses or drops calls, and
+//! tasks are revoked. The agent's replies must agree with what the upstream started.
 
 mod support;
 
@@ -8,7 +7,7 @@
     futures::{StreamExt, stream},
     rand::{Rng, SeedableRng, rngs::SmallRng},
     std::{collections::HashSet, time::Duration},
-    support::{Cluster, PATIENCE, until},
+    support::{Cluster, TEST_TIMEOUT, wait_until},
     sycamorerail_agent::agent::StopOutcome,
     sycamorerail_standin::upstream::UpstreamFaults,
     sycamorerail_wire::{
@@ -20,10 +19,10 @@
 };
 
 const TASKS: u64 = 400;
-const AT_ONCE: usize = 40;
-const REFUSED: Duration = Duration::from_millis(10);
+const CONCURRENT_TASKS: usize = 40;
+const REFUSAL_TIME: Duration = Duration::from_millis(10);
 
-/// What the agent's last word on a task proves.
+/// What the agent's last reply about a task proves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Proof {
     Started,
@@ -31,23 +30,23 @@
     Neither,
 }
 
-/// Sends until a reply comes, each time over a new connection.
-async fn ask(cluster: &Cluster, request: &ToAgent) -> AgentReplyBody {
+/// Sends the request over a new connection each time until a reply arrives.
+async fn call_until_reply(cluster: &Cluster, request: &ToAgent) -> AgentReplyBody {
     loop {
         let connection = cluster.entry.connection().await;
-        match session::call::<_, AgentReply>(&connection, request, PATIENCE).await {
+        match session::call::<_, AgentReply>(&connection, request, TEST_TIMEOUT).await {
             Ok(reply) => return reply.body,
             Err(err) if connection.close_reason().is_some() => drop(err),
             Err(err) => panic!("{err}"),
         }
-        until("a new connection", || cluster.entry.has_other_than(&connection)).await;
+        wait_until("a new connection", || cluster.entry.has_other_connection(&connection)).await;
     }
 }
 
 async fn place(cluster: &Cluster, placement: Placement, mut tries: u32) -> Proof {
     let request = ToAgent::Place(placement);
     loop {
-        match ask(cluster, &request).await {
+        match call_until_reply(cluster, &request).await {
             AgentReplyBody::Ended { end: TaskEnd::Finished(_), .. } => return Proof::Started,
             AgentReplyBody::Ended { .. } | AgentReplyBody::Broken(_) => return Proof::Neither,
             AgentReplyBody::NotStarted { never, .. } if never || tries == 0 => {
@@ -64,7 +63,7 @@
 
 async fn revoke(cluster: &Cluster, task: TaskId) -> Proof {
     let AgentReplyBody::Revoked(reports) =
-        ask(cluster, &ToAgent::Revoke { tasks: vec![task] }).await
+        call_until_reply(cluster, &ToAgent::Revoke { tasks: vec![task] }).await
     else {
         panic!("no report");
     };
@@ -77,8 +76,8 @@
     }
 }
 
-/// Runs a task as its home would, and now and then cancels it.
-async fn run(cluster: &Cluster, sequence: u64) -> (TaskId, Proof) {
+/// Runs a task as its home entry would, and sometimes cancels it.
+async fn run_task(cluster: &Cluster, sequence: u64) -> (TaskId, Proof) {
     let mut rng = SmallRng::seed_from_u64(sequence);
     let run_ms: u64 = rng.random_range(0..120);
     let mut placement = cluster.placement(sequence, &format!(r#"{{"run_ms":{run_ms}}}"#));
@@ -96,17 +95,17 @@
     }
 }
 
-async fn disturb(cluster: &Cluster) {
+async fn inject_faults(cluster: &Cluster) {
     let mut rng = SmallRng::seed_from_u64(7);
     loop {
         tokio::time::sleep(Duration::from_millis(rng.random_range(5..40))).await;
         let drop_share = if rng.random_bool(0.5) { 0.1 } else { 0.0 };
         let faults = UpstreamFaults { drop_share, ..Default::default() };
         match rng.random_range(0..10) {
-            0..6 => cluster.entry.hang_up().await,
+            0..6 => cluster.entry.close_connection().await,
             6 => {
                 cluster.upstream.refuse().await.unwrap();
-                tokio::time::sleep(REFUSED).await;
+                tokio::time::sleep(REFUSAL_TIME).await;
                 cluster.upstream.heal().await.unwrap();
             }
             _ => cluster.upstream.set_faults(faults).await.unwrap(),
@@ -115,12 +114,12 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn words_hold() {
+async fn replies_agree_with_starts() {
     let cluster = Cluster::start_with(8, |settings| settings.max_queued = 24).await;
-    let tasks = stream::iter(0..TASKS).map(|sequence| run(&cluster, sequence));
+    let tasks = stream::iter(0..TASKS).map(|sequence| run_task(&cluster, sequence));
     let proofs = tokio::select! {
-        proofs = tasks.buffer_unordered(AT_ONCE).collect::<Vec<_>>() => proofs,
-        () = disturb(&cluster) => unreachable!(),
+        proofs = tasks.buffer_unordered(CONCURRENT_TASKS).collect::<Vec<_>>() => proofs,
+        () = inject_faults(&cluster) => unreachable!(),
     };
     cluster.upstream.heal().await.unwrap();
     let Cluster { agent, upstream, .. } = cluster;
@@ -130,9 +129,9 @@
     assert_eq!((report.repeated, report.not_kept), (Vec::<String>::new(), 0));
     let started: HashSet<String> = report.ids.unwrap().into_iter().collect();
     for (task, proof) in &proofs {
-        let was = started.contains(&task.to_string());
-        assert!(was || *proof != Proof::Started, "{task} did not start");
-        assert!(!was || *proof != Proof::NotStarted, "{task} started");
+        let was_started = started.contains(&task.to_string());
+        assert!(was_started || *proof != Proof::Started, "{task} did not start");
+        assert!(!was_started || *proof != Proof::NotStarted, "{task} started");
     }
     for proof in [Proof::Started, Proof::NotStarted, Proof::Neither] {
         assert!(proofs.iter().any(|(_, found)| *found == proof), "no {proof:?} among {proofs:?}");
--- a/crates/agent/tests/renewals.rs
+++ b/crates/agent/tests/renewals.rs
@@ -1,4 +1,4 @@
-//! Renewals of the lease of an upstream that has stopped answering.
+//! Renewals of the lease for an upstream that has stopped answering.
 
 use {
     futures::future::{BoxFuture, FutureExt, pending, ready},
@@ -15,20 +15,20 @@
     tokio::time::{sleep, timeout},
 };
 
-/// Far longer than anything should take on a busy machine.
-const PATIENCE: Duration = Duration::from_secs(30);
-/// The number of the end that is told.
+/// Far longer than any step takes, even on a busy machine.
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
+/// Number of the reported end.
 const END: u64 = 5;
-/// Calls that are answered: for the fence, with the end, and without.
+/// Calls that are answered: the one for the fence, one with the end, and one without.
 const ANSWERED: usize = 3;
-/// Calls that wait for an answer at once.
+/// Calls that wait for an answer at the same time.
 const UNANSWERED: usize = 4;
 
-/// An upstream that tells of an end and then answers no more.
+/// An upstream that reports an end and then stops answering. Stores the acknowledgements.
 #[derive(Clone, Debug, Default)]
-struct FallsSilent(Arc<Mutex<Vec<u64>>>);
+struct StopsAnswering(Arc<Mutex<Vec<u64>>>);
 
-impl UpstreamClient for FallsSilent {
+impl UpstreamClient for StopsAnswering {
     fn start_run(&self, _: FencedTarget, _: StartOrder) -> BoxFuture<'_, StartAnswer> {
         ready(StartAnswer::Unanswered).boxed()
     }
@@ -65,10 +65,11 @@
     }
 }
 
-/// Another life may answer by then: it forgot its first ends, and their tasks ran again.
+/// Guards against acknowledging ends to another instance of the upstream that has started in
+/// the meantime: it would discard its own first ends, and their tasks would run again.
 #[tokio::test]
 async fn one_call_acknowledges_ends_after_an_answer() {
-    let upstream = FallsSilent::default();
+    let upstream = StopsAnswering::default();
     let settings = LeasedAgentSettings {
         name: "agent".to_owned(),
         data_centre: "hall".to_owned(),
@@ -90,6 +91,6 @@
             sleep(Duration::from_millis(5)).await;
         }
     };
-    timeout(PATIENCE, all_sent).await.unwrap();
+    timeout(TEST_TIMEOUT, all_sent).await.unwrap();
     assert_eq!(upstream.0.lock()[ANSWERED - 1..], [END, END, 0, 0, 0]);
 }
--- a/crates/agent/tests/revoke.rs
+++ b/crates/agent/tests/revoke.rs
@@ -1,9 +1,9 @@
-//! Revokes and fences.
+//! Revoked tasks and fenced homes.
 
 mod support;
 
 use {
-    support::{Cluster, HOME, PATIENCE, not_started, task, until},
+    support::{Cluster, HOME, TEST_TIMEOUT, not_started, task, wait_until},
     sycamorerail_wire::{
         answer::{Reason, TaskEnd, TaskRecord},
         ids::Incarnation,
@@ -25,7 +25,7 @@
 }
 
 #[tokio::test]
-async fn before_start() {
+async fn revoke_before_start() {
     let cluster = Cluster::start(1).await;
     let revoked = cluster.entry.revoke(task(1)).await;
     assert_eq!(record(revoked), TaskRecord::NeverStarted);
@@ -35,11 +35,11 @@
 }
 
 #[tokio::test]
-async fn while_running() {
+async fn revoke_while_running() {
     let cluster = Cluster::start(1).await;
-    let running = cluster.entry.place_later(&cluster.placement(1, SLOW)).await;
-    cluster.until_started(1).await;
-    let next = cluster.entry.place_later(&cluster.placement(2, "{}")).await;
+    let running = cluster.entry.spawn_place(&cluster.placement(1, SLOW)).await;
+    cluster.wait_until_started(1).await;
+    let next = cluster.entry.spawn_place(&cluster.placement(2, "{}")).await;
     let revoked = cluster.entry.revoke(task(1)).await;
     assert_eq!(record(revoked), TaskRecord::Ended(cancelled()));
     let AgentReplyBody::Ended { end, .. } = running.await.unwrap() else { panic!("no end") };
@@ -49,33 +49,33 @@
 }
 
 #[tokio::test]
-async fn call_ended() {
+async fn revoke_closes_upstream_call() {
     let cluster = Cluster::start(1).await;
     let upstream = TcpListener::bind("127.0.0.1:0").await.unwrap();
     cluster.announce(upstream.local_addr().unwrap()).await;
-    let _running = cluster.entry.place_later(&cluster.placement(1, "{}")).await;
+    let _running = cluster.entry.spawn_place(&cluster.placement(1, "{}")).await;
     let (mut call, _) = upstream.accept().await.unwrap();
     assert!(call.read(&mut [0; 1]).await.unwrap() > 0);
     cluster.entry.revoke(task(1)).await;
     let mut rest = Vec::new();
-    // Ends when the agent has closed the connection, gracefully or not.
-    let ended = tokio::time::timeout(PATIENCE, call.read_to_end(&mut rest)).await;
+    // Returns when the agent has closed the connection, gracefully or not.
+    let ended = tokio::time::timeout(TEST_TIMEOUT, call.read_to_end(&mut rest)).await;
     assert!(ended.is_ok(), "the call goes on");
 }
 
 #[tokio::test]
-async fn while_queued() {
+async fn revoke_while_queued() {
     let cluster = Cluster::start(1).await;
-    let _running = cluster.entry.place_later(&cluster.placement(1, SLOW)).await;
-    cluster.until_started(1).await;
-    let queued = cluster.entry.place_later(&cluster.placement(2, "{}")).await;
+    let _running = cluster.entry.spawn_place(&cluster.placement(1, SLOW)).await;
+    cluster.wait_until_started(1).await;
+    let queued = cluster.entry.spawn_place(&cluster.placement(2, "{}")).await;
     let revoked = cluster.entry.revoke(task(2)).await;
     assert_eq!(record(revoked), TaskRecord::NeverStarted);
     assert_eq!(not_started(queued.await.unwrap()), (Reason::Revoked, true));
 }
 
 #[tokio::test]
-async fn after_end() {
+async fn revoke_after_end() {
     let cluster = Cluster::start(1).await;
     let AgentReplyBody::Ended { end, .. } = cluster.entry.place(&cluster.placement(1, "{}")).await
     else {
@@ -85,14 +85,14 @@
 }
 
 #[tokio::test]
-async fn fence_collects() {
+async fn fence_reports_jobs() {
     let cluster = Cluster::start(1).await;
     let ended = cluster.entry.place(&cluster.placement(1, "{}")).await;
     let AgentReplyBody::Ended { end, .. } = ended else { panic!("{ended:?}") };
-    let _running = cluster.entry.place_later(&cluster.placement(2, SLOW)).await;
-    cluster.until_started(2).await;
-    let queued = cluster.entry.place_later(&cluster.placement(3, "{}")).await;
-    until("queued", || cluster.agent.counts().queued == 1).await;
+    let _running = cluster.entry.spawn_place(&cluster.placement(2, SLOW)).await;
+    cluster.wait_until_started(2).await;
+    let queued = cluster.entry.spawn_place(&cluster.placement(3, "{}")).await;
+    wait_until("queued", || cluster.agent.counts().queued == 1).await;
     let jobs = (1..=4).map(|sequence| task(sequence).job).collect();
     let fenced = cluster.entry.call(&ToAgent::Fence { home: HOME, jobs }).await;
     let AgentReplyBody::Fenced(jobs) = fenced.body else { panic!("{fenced:?}") };
@@ -105,10 +105,10 @@
 }
 
 #[tokio::test]
-async fn welcome_fences() {
+async fn welcome_carries_fences() {
     let cluster = Cluster::start(1).await;
-    cluster.entry.list(Vec::new(), vec![Incarnation(1), HOME]);
-    cluster.entry.hang_up().await;
+    cluster.entry.set_members(Vec::new(), vec![Incarnation(1), HOME]);
+    cluster.entry.close_connection().await;
     let reply = cluster.entry.place(&cluster.placement(1, "{}")).await;
     assert_eq!(not_started(reply), (Reason::Fenced, true));
 }
--- a/crates/agent/tests/sessions.rs
+++ b/crates/agent/tests/sessions.rs
@@ -1,10 +1,10 @@
-//! Sessions: dialled, kept, told of changes.
+//! Sessions with entries: dialling, heartbeats and updates.
 
 mod support;
 
 use {
     std::sync::atomic::Ordering,
-    support::{Cluster, FakeEntry, HOME, any_port, settings, start_agent, until},
+    support::{Cluster, FakeEntry, HOME, any_port, settings, start_agent, wait_until},
     sycamorerail_wire::{
         ids::Incarnation,
         keys::generate_authority,
@@ -13,7 +13,7 @@
 };
 
 #[tokio::test]
-async fn upstream_told() {
+async fn entry_learns_upstream() {
     let authority = generate_authority("test").unwrap();
     let entry = FakeEntry::start(&authority, HOME, any_port());
     let agent = start_agent(settings(&authority, vec![entry.address])).await;
@@ -23,17 +23,17 @@
     assert_eq!(hello.agent.incarnation, agent.incarnation());
     let _upstream = support::start_upstream(&agent, 3).await;
     let told = || entry.last_hello().is_some_and(|hello| hello.load.slots == 3);
-    until("told", told).await;
+    wait_until("told", told).await;
     let upstream = entry.last_hello().unwrap().upstream.unwrap();
     assert_eq!((upstream.name.as_str(), upstream.slots), ("upstream", 3));
 }
 
 #[tokio::test]
-async fn entries_learnt() {
+async fn listed_entries_are_dialled() {
     let cluster = Cluster::start(1).await;
     let second = FakeEntry::start(&cluster.authority, Incarnation(78), any_port());
-    cluster.entry.list(vec![cluster.entry.address, second.address], Vec::new());
-    cluster.entry.hang_up().await;
+    cluster.entry.set_members(vec![cluster.entry.address, second.address], Vec::new());
+    cluster.entry.close_connection().await;
     second.connection().await;
     let reply = second.place(&cluster.placement(1, "{}")).await;
     assert!(matches!(reply, AgentReplyBody::Ended { .. }), "{reply:?}");
@@ -52,17 +52,17 @@
 }
 
 #[tokio::test]
-async fn idle_beats() {
+async fn idle_session_sends_heartbeats() {
     let cluster = Cluster::start_with(1, |settings| settings.heartbeat_ms = 50).await;
-    let beats = || cluster.entry.heard.beats.load(Ordering::Acquire);
-    until("three heartbeats", || beats() >= 3).await;
+    let heartbeats = || cluster.entry.received.heartbeats.load(Ordering::Acquire);
+    wait_until("three heartbeats", || heartbeats() >= 3).await;
 }
 
 #[tokio::test]
-async fn busy_asks() {
+async fn busy_session_asks_for_entries() {
     let cluster = Cluster::start_with(1, |settings| settings.heartbeat_ms = 200).await;
     let second = FakeEntry::start(&cluster.authority, Incarnation(78), any_port());
-    cluster.entry.list(vec![second.address], Vec::new());
+    cluster.entry.set_members(vec![second.address], Vec::new());
     let busy = async {
         for sequence in 0.. {
             cluster.entry.place(&cluster.placement(sequence, "{}")).await;
@@ -75,11 +75,11 @@
 }
 
 #[tokio::test]
-async fn same_run_once() {
+async fn one_session_per_incarnation() {
     let cluster = Cluster::start(1).await;
     let first = cluster.entry.connection().await;
     let twin = FakeEntry::start(&cluster.authority, HOME, any_port());
-    cluster.entry.list(vec![twin.address], Vec::new());
+    cluster.entry.set_members(vec![twin.address], Vec::new());
     cluster.upstream.leave().await.unwrap();
     twin.connection().await;
     first.closed().await;
--- a/crates/agent/tests/support/mod.rs
+++ b/crates/agent/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! An agent in this process, with a fake entry and the upstream's stand-in.
+//! Runs an agent in the test process, with a fake entry and a stand-in upstream.
 
 #![allow(dead_code)]
 
@@ -30,35 +30,35 @@
     tokio::task::JoinHandle,
 };
 
-/// Longest wait for anything; no test depends on being faster.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+/// Longest wait for any condition; no test depends on a shorter one.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 pub const HOME: Incarnation = Incarnation(77);
 
-/// Waits until `holds`.
-pub async fn until(what: &str, holds: impl Fn() -> bool) {
+/// Waits until `holds` returns true; panics after [`TEST_TIMEOUT`].
+pub async fn wait_until(what: &str, holds: impl Fn() -> bool) {
     let waiting = async {
         while !holds() {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
-    tokio::time::timeout(PATIENCE, waiting).await.unwrap_or_else(|_| panic!("never: {what}"));
+    tokio::time::timeout(TEST_TIMEOUT, waiting).await.unwrap_or_else(|_| panic!("never: {what}"));
 }
 
 pub fn any_port() -> SocketAddr {
     "127.0.0.1:0".parse().unwrap()
 }
 
-/// An entry that welcomes agents, and says what a test wants it to say.
+/// An entry that accepts agents and answers them with a welcome that the test sets.
 pub struct FakeEntry {
     pub address: SocketAddr,
-    pub heard: Arc<Heard>,
+    pub received: Arc<Received>,
     endpoint: Endpoint,
 }
 
-/// What the fake entry heard, and what it answers.
-pub struct Heard {
+/// What the fake entry has received, and the welcome that it answers.
+pub struct Received {
     pub hellos: Mutex<Vec<AgentHello>>,
-    pub beats: AtomicU64,
+    pub heartbeats: AtomicU64,
     pub welcome: Mutex<EntryWelcome>,
     connection: Mutex<Option<Connection>>,
 }
@@ -75,48 +75,49 @@
             draining: false,
             evacuations: None,
         };
-        let heard = Arc::new(Heard {
+        let received = Arc::new(Received {
             hellos: Mutex::default(),
-            beats: AtomicU64::new(0),
+            heartbeats: AtomicU64::new(0),
             welcome: Mutex::new(welcome),
             connection: Mutex::default(),
         });
-        tokio::spawn(accept(endpoint.clone(), Arc::clone(&heard)));
-        Self { address: endpoint.local_addr().unwrap(), heard, endpoint }
+        tokio::spawn(accept(endpoint.clone(), Arc::clone(&received)));
+        Self { address: endpoint.local_addr().unwrap(), received, endpoint }
     }
 
-    /// What the entry tells of members from now on.
-    pub fn list(&self, entries: Vec<SocketAddr>, fenced: Vec<Incarnation>) {
-        self.heard.welcome.lock().members = Some(MemberList { entries, fenced });
+    /// Sets the list of members in later welcomes.
+    pub fn set_members(&self, entries: Vec<SocketAddr>, fenced: Vec<Incarnation>) {
+        self.received.welcome.lock().members = Some(MemberList { entries, fenced });
     }
 
-    /// The connection of the agent that said hello last.
+    /// Waits for the connection of the agent that sent the last hello.
     pub async fn connection(&self) -> Connection {
-        until("an agent says hello", || self.heard.connection.lock().is_some()).await;
-        self.heard.connection.lock().clone().unwrap()
+        wait_until("an agent says hello", || self.received.connection.lock().is_some()).await;
+        self.received.connection.lock().clone().unwrap()
     }
 
-    /// Whether an agent has said hello over another connection than this.
-    pub fn has_other_than(&self, connection: &Connection) -> bool {
-        let current = self.heard.connection.lock();
+    /// Returns whether an agent has sent a hello over another connection than this.
+    pub fn has_other_connection(&self, connection: &Connection) -> bool {
+        let current = self.received.connection.lock();
         current.as_ref().is_some_and(|current| current.stable_id() != connection.stable_id())
     }
 
     pub async fn call(&self, request: &ToAgent) -> AgentReply {
         let connection = self.connection().await;
-        session::call(&connection, request, PATIENCE).await.unwrap()
+        session::call(&connection, request, TEST_TIMEOUT).await.unwrap()
     }
 
     pub async fn place(&self, placement: &Placement) -> AgentReplyBody {
         self.call(&ToAgent::Place(placement.clone())).await.body
     }
 
-    /// Places without waiting for the reply.
-    pub async fn place_later(&self, placement: &Placement) -> JoinHandle<AgentReplyBody> {
+    /// Sends a placement without waiting for the reply.
+    pub async fn spawn_place(&self, placement: &Placement) -> JoinHandle<AgentReplyBody> {
         let connection = self.connection().await;
         let request = ToAgent::Place(placement.clone());
         tokio::spawn(async move {
-            let reply: AgentReply = session::call(&connection, &request, PATIENCE).await.unwrap();
+            let reply: AgentReply =
+                session::call(&connection, &request, TEST_TIMEOUT).await.unwrap();
             reply.body
         })
     }
@@ -125,50 +126,50 @@
         self.call(&ToAgent::Revoke { tasks: vec![task] }).await.body
     }
 
-    /// Breaks the connection; the agent dials again.
-    pub async fn hang_up(&self) {
+    /// Closes the connection; the agent dials again.
+    pub async fn close_connection(&self) {
         let connection = self.connection().await;
-        self.heard.connection.lock().take();
+        self.received.connection.lock().take();
         connection.close(0u32.into(), b"hung up");
     }
 
     pub fn last_hello(&self) -> Option<AgentHello> {
-        self.heard.hellos.lock().last().cloned()
+        self.received.hellos.lock().last().cloned()
     }
 
-    /// Stops, and waits until the address is free for the next.
+    /// Stops the entry and waits until its address is free.
     pub async fn stop(self) {
-        self.heard.connection.lock().take();
+        self.received.connection.lock().take();
         self.endpoint.close(0u32.into(), b"stopped");
         self.endpoint.wait_idle().await;
         drop(self.endpoint);
-        until("the address is free", || UdpSocket::bind(self.address).is_ok()).await;
+        wait_until("the address is free", || UdpSocket::bind(self.address).is_ok()).await;
     }
 }
 
-async fn accept(endpoint: Endpoint, heard: Arc<Heard>) {
+async fn accept(endpoint: Endpoint, received: Arc<Received>) {
     while let Some(incoming) = endpoint.accept().await {
-        let heard = Arc::clone(&heard);
+        let received = Arc::clone(&received);
         tokio::spawn(async move {
             if let Ok(connection) = incoming.await {
-                listen(connection, heard).await;
+                listen(connection, received).await;
             }
         });
     }
 }
 
-async fn listen(connection: Connection, heard: Arc<Heard>) {
+async fn listen(connection: Connection, received: Arc<Received>) {
     let peer = connection.remote_address();
     while let Ok((mut send, mut recv)) = connection.accept_bi().await {
         let Ok(said) = session::read_request::<FromAgent>(peer, &mut recv).await else { continue };
-        let welcome = heard.welcome.lock().clone();
+        let welcome = received.welcome.lock().clone();
         let _ = session::write_reply(peer, &mut send, &welcome).await;
         match said {
             FromAgent::Hello(hello) => {
-                heard.hellos.lock().push(*hello);
-                *heard.connection.lock() = Some(connection.clone());
+                received.hellos.lock().push(*hello);
+                *received.connection.lock() = Some(connection.clone());
             }
-            FromAgent::Heartbeat { .. } => drop(heard.beats.fetch_add(1, Ordering::AcqRel)),
+            FromAgent::Heartbeat { .. } => drop(received.heartbeats.fetch_add(1, Ordering::AcqRel)),
         }
     }
 }
@@ -182,7 +183,7 @@
 }
 
 impl Cluster {
-    /// All started, and known to each other.
+    /// Starts all three and waits until the entry knows the upstream's slots.
     pub async fn start(slots: u16) -> Self {
         Self::start_with(slots, |_| {}).await
     }
@@ -196,13 +197,13 @@
         let agent = start_agent(settings).await;
         let upstream = start_upstream(&agent, slots).await;
         let cluster = Self { authority, entry, agent, upstream };
-        cluster.until_slots(slots).await;
+        cluster.wait_until_slots(slots).await;
         cluster
     }
 
-    pub async fn until_slots(&self, slots: u16) {
+    pub async fn wait_until_slots(&self, slots: u16) {
         let told = || self.entry.last_hello().is_some_and(|hello| hello.load.slots == slots);
-        until("the entry is told the slots", told).await;
+        wait_until("the entry is told the slots", told).await;
     }
 
     pub fn placement(&self, sequence: u64, payload: &str) -> Placement {
@@ -210,15 +211,15 @@
     }
 
     /// Waits until the upstream has started this many tasks.
-    pub async fn until_started(&self, count: u64) {
-        until("started", || self.starts() >= count).await;
+    pub async fn wait_until_started(&self, count: u64) {
+        wait_until("started", || self.starts() >= count).await;
     }
 
     pub fn starts(&self) -> u64 {
         self.upstream.starts(false).starts
     }
 
-    /// Lets the stand-in leave and announces an upstream at `address` in its place.
+    /// Makes the stand-in leave and announces an upstream at `address` instead.
     pub async fn announce(&self, address: SocketAddr) {
         self.upstream.leave().await.unwrap();
         let url = format!("http://{}/v1/upstream", self.agent.http_address());
@@ -264,7 +265,7 @@
         kept_result_bytes: 1 << 20,
         record_bytes: 1 << 20,
         max_queued: 4,
-        // Longer than any test, but for the test of the lease.
+        // Longer than any test, except for the test of the lease.
         upstream_lease_ms: 120_000,
         heartbeat_ms: 60_000,
         idle_timeout_ms: 60_000,
@@ -297,7 +298,7 @@
     }
 }
 
-/// Why the task was not started, and whether it never will be.
+/// Returns why the task was not started, and whether it never will be.
 pub fn not_started(reply: AgentReplyBody) -> (Reason, bool) {
     let AgentReplyBody::NotStarted { reason, never, .. } = reply else {
         panic!("started: {reply:?}");
