--- a/crates/bench/src/policy/entry.rs
+++ b/crates/bench/src/policy/entry.rs
@@ -64,7 +64,7 @@
         let (name, now_ms) = (number.to_string(), millis(now));
         let agent = self.dispatch.agent_connected(&name, Incarnation(1), None, now_ms);
         self.dispatch.agent_ready(agent, now_ms);
-        self.dispatch.set_life(agent, life);
+        self.dispatch.set_instance(agent, life);
         // The first message of a connection.
         self.dispatch.message_sent(agent, None, now_ms);
         self.agents.insert(number, LinkedAgent { key: agent, confirmed: 0 });
--- a/crates/bench/src/policy/world/entries.rs
+++ b/crates/bench/src/policy/world/entries.rs
@@ -73,7 +73,7 @@
                     self.recalls += tasks.len() as u64;
                     self.tell(entry, agent, ToRunsAgent::Withdraw(tasks));
                 }
-                Command::Finish(agent, job, give_up_in_ms) => {
+                Command::JobMostlyStarted(agent, job, give_up_in_ms) => {
                     self.tell(entry, agent, ToRunsAgent::JobMostlyStarted { job, give_up_in_ms });
                 }
                 Command::Answer(job, answer) => {
@@ -140,7 +140,7 @@
                 linked.confirmed = last.max(linked.confirmed);
                 entry.dispatch.handle_report(agent, &reports, load, heard, now_ms);
             }
-            FromRunsAgent::Upstream(life) => entry.dispatch.set_life(agent, life),
+            FromRunsAgent::Upstream(life) => entry.dispatch.set_instance(agent, life),
             _ => {}
         }
         self.carry_out(link.entry);
--- a/crates/decide/src/dispatch/connections.rs
+++ b/crates/decide/src/dispatch/connections.rs
@@ -1,4 +1,4 @@
-//! Agents that connect, report, fall silent and come back.
+//! Agents that connect, report, fall silent and reconnect.
 
 use {
     super::{AgentKey, AgentView, Command, Dispatch, PoolView},
@@ -13,31 +13,33 @@
     },
 };
 
-/// An agent whose upstream is not usable this long after it connected is not counted on:
-/// upstreams announce themselves about every 1.5 s.
-const RECOVERY_MS: u64 = 2_000;
-/// Agents that are to be usable soon matter from this part of the usable ones on.
-const RECOVERY_PART: usize = 4;
+/// Time after connecting within which an agent's upstream is expected to become usable: upstreams
+/// announce themselves about every 1.5 s.
+const CONNECT_TO_USABLE_MS: u64 = 2_000;
+/// Divisor of the number of usable agents: agents that are about to become usable count once they
+/// are at least this part.
+const RECOVERING_DIVISOR: usize = 4;
 
 impl Dispatch {
-    /// Agents that take work now.
+    /// Number of agents that accept work.
     #[must_use]
     pub fn usable_agents(&self, now_ms: u64) -> usize {
         let usable = |agent: &&AgentView| agent.is_usable(now_ms, self.limits.suspect_ms);
         self.agents.values().filter(usable).count()
     }
 
-    /// Whether many agents have just connected and will be usable soon.
+    /// Whether many agents have just connected and will soon be usable.
     ///
-    /// It answers the first second after all programs were killed: what waits for the
-    /// first upstreams then would be refused, and nearly all upstreams come later.
+    /// Covers the first second after all programs were killed: jobs that wait for the first few
+    /// upstreams would be refused, although nearly all upstreams come a moment later.
     pub(super) fn is_recovering(&self, now_ms: u64) -> bool {
-        let is_coming = |agent: &&AgentView| agent.is_coming(now_ms, RECOVERY_MS);
-        let coming = self.agents.values().filter(is_coming).count();
-        coming > 0 && coming * RECOVERY_PART >= self.usable_agents(now_ms)
+        let is_becoming_usable =
+            |agent: &&AgentView| agent.is_becoming_usable(now_ms, CONNECT_TO_USABLE_MS);
+        let coming = self.agents.values().filter(is_becoming_usable).count();
+        coming > 0 && coming * RECOVERING_DIVISOR >= self.usable_agents(now_ms)
     }
 
-    /// Takes a report of an agent.
+    /// Handles a report of an agent.
     pub fn handle_report(
         &mut self,
         agent: AgentKey,
@@ -48,43 +50,49 @@
     ) {
         let Some(view) = self.agents.get_mut(agent) else { return };
         view.set_load(load, heard, now_ms);
-        if load.usable && view.old_runs_until_ms.take().is_some() {
-            // It says so only when nothing of its earlier run is left.
-            self.lose_runs(agent, |_, _| true, now_ms);
+        if load.usable && view.earlier_runs_until_ms.take().is_some() {
+            // A restarted agent reports itself as usable only when no run of its earlier
+            // incarnation is left.
+            self.mark_runs_lost(agent, |_, _| true, now_ms);
         }
         for report in reports {
-            self.apply(agent, report.task, report.run, report.event, now_ms);
+            self.apply_run_event(agent, report.task, report.run, report.event, now_ms);
         }
-        self.place_waiting(now_ms);
+        self.place_unplaced(now_ms);
         self.recall_for(agent, now_ms);
     }
 
-    pub(super) fn lose_silent(&mut self, now_ms: u64) {
+    pub(super) fn lose_silent_agents(&mut self, now_ms: u64) {
         let lost_ms = self.limits.lost_ms;
         let is_lost = |agent: &&AgentView| {
-            now_ms >= agent.heard_ms + lost_ms
-                || agent.old_runs_until_ms.is_some_and(|until_ms| now_ms >= until_ms)
+            now_ms >= agent.last_heard_ms + lost_ms
+                || agent.earlier_runs_until_ms.is_some_and(|until_ms| now_ms >= until_ms)
         };
         let lost: Vec<_> = self.agents.values().filter(is_lost).map(|agent| agent.key).collect();
         for key in lost {
             if let Some(view) = self.agents.get_mut(key) {
-                view.old_runs_until_ms = None;
+                view.earlier_runs_until_ms = None;
             }
-            self.lose_runs(key, |_, _| true, now_ms);
+            self.mark_runs_lost(key, |_, _| true, now_ms);
         }
     }
 
-    /// Declares the tasks at an agent lost that `is_lost` picks.
-    fn lose_runs(&mut self, agent: AgentKey, is_lost: impl Fn(TaskKey, u32) -> bool, now_ms: u64) {
+    /// Marks those tasks at an agent as lost that `is_lost` selects.
+    fn mark_runs_lost(
+        &mut self,
+        agent: AgentKey,
+        is_lost: impl Fn(TaskKey, u32) -> bool,
+        now_ms: u64,
+    ) {
         let here = self.jobs.values().flat_map(|job| job.tasks_at(agent));
         let lost: Vec<_> = here.filter(|&(task, run)| is_lost(task, run)).collect();
         for (task, run) in lost {
-            self.apply(agent, task, run, RunEvent::Lost, now_ms);
+            self.apply_run_event(agent, task, run, RunEvent::Lost, now_ms);
         }
     }
 
-    /// Takes reports that an agent sends again as it connects anew, before what
-    /// it still holds is compared.
+    /// Applies the reports that an agent sends again on reconnecting. Call it before the runs
+    /// that the agent still holds are compared.
     pub fn apply_resent_reports(
         &mut self,
         name: &str,
@@ -97,12 +105,12 @@
             return;
         }
         for report in reports {
-            self.apply(key, report.task, report.run, report.event, now_ms);
+            self.apply_run_event(key, report.task, report.run, report.event, now_ms);
         }
     }
 
-    /// An agent has connected. `held` are the runs of ours that it still has, if
-    /// it has heard this run of ours before.
+    /// Registers an agent that has connected. `held` are the runs of this entry that the agent
+    /// still has, if it knows this incarnation of the entry.
     pub fn agent_connected(
         &mut self,
         name: &str,
@@ -122,17 +130,17 @@
         let restarted = view.incarnation != incarnation;
         view.incarnation = incarnation;
         if restarted {
-            view.old_runs_until_ms = Some(now_ms + self.limits.lost_ms);
+            view.earlier_runs_until_ms = Some(now_ms + self.limits.lost_ms);
         } else if let Some(held) = held {
-            self.lose_runs(key, |task, run| !held.contains(&(task, run)), now_ms);
-            self.stop_what_is_over(key, held);
+            self.mark_runs_lost(key, |task, run| !held.contains(&(task, run)), now_ms);
+            self.stop_ended_jobs(key, held);
         }
         key
     }
 
-    /// Stops what an agent holds of jobs that are over or being ended: a stop is lost with
-    /// the connection that carried it.
-    fn stop_what_is_over(&mut self, agent: AgentKey, held: &[(TaskKey, u32)]) {
+    /// Stops runs that the agent still holds of jobs that have ended or are being ended, because
+    /// a stop is lost with the connection that carried it.
+    fn stop_ended_jobs(&mut self, agent: AgentKey, held: &[(TaskKey, u32)]) {
         let jobs: BTreeSet<_> = held.iter().map(|(task, _)| task.job).collect();
         let is_open = |job: &CallerJobId| {
             let job = self.find_job(*job).and_then(|key| self.jobs.get(key));
@@ -143,97 +151,100 @@
         self.commands.extend(stops);
     }
 
-    /// The connection of [`Self::agent_connected`] is in use from now on.
+    /// Puts the connection of [`Self::agent_connected`] to use.
     pub fn agent_ready(&mut self, key: AgentKey, now_ms: u64) {
         if let Some(view) = self.agents.get_mut(key) {
             view.reconnect(now_ms);
         }
     }
 
-    /// An agent's connection has ended.
+    /// Records that an agent's connection has ended.
     pub fn agent_disconnected(&mut self, key: AgentKey) {
         if let Some(view) = self.agents.get_mut(key) {
             view.connected = false;
         }
     }
 
-    /// An agent means to end its connection: nothing more is placed there.
+    /// Records that an agent is about to close its connection; nothing more is placed there.
     pub fn agent_unlinks(&mut self, key: AgentKey) {
         if let Some(view) = self.agents.get_mut(key) {
-            view.is_unlinking = true;
+            view.is_disconnecting = true;
         }
     }
 
-    /// An agent tells its upstream's life.
-    pub fn set_life(&mut self, key: AgentKey, life: UpstreamInstance) {
-        let capacity = life.capacity;
+    /// Sets the upstream instance that an agent reports.
+    pub fn set_instance(&mut self, key: AgentKey, instance: UpstreamInstance) {
+        let capacity = instance.capacity;
         if let Some(view) = self.agents.get_mut(key) {
-            view.life = Some(life);
+            view.instance = Some(instance);
             self.raise_largest_capacity(key, capacity);
         }
     }
 
-    /// An agent's upstream is slow after its start for so much longer; 0 where it is not.
+    /// Sets how much longer an agent's upstream is slow after its start; 0 if it is not.
     pub fn set_cold(&mut self, key: AgentKey, left_ms: u32, now_ms: u64) {
         if let Some(view) = self.agents.get_mut(key) {
             view.cold_until_ms = (left_ms > 0).then(|| now_ms + u64::from(left_ms));
         }
     }
 
-    /// Takes note of upstreams that are as fast as others by now.
-    pub(super) fn warm_up(&mut self, now_ms: u64) {
+    /// Ends the cold start of upstreams whose time is up.
+    pub(super) fn end_cold_starts(&mut self, now_ms: u64) {
         for view in self.agents.values_mut() {
             view.cold_until_ms.take_if(|until_ms| now_ms >= *until_ms);
         }
     }
 
-    /// Some upstream of an agent's pool has so much, here or elsewhere.
+    /// Raises the largest capacity known of an upstream in the agent's pool, at this entry or
+    /// another.
     pub fn raise_largest_capacity(&mut self, key: AgentKey, room: Resources) {
-        let life = self.agents.get(key).and_then(|view| view.life.as_ref());
-        let Some(life) = life else { return };
-        let known = self.largest.entry(life.pool.clone()).or_default();
+        let instance = self.agents.get(key).and_then(|view| view.instance.as_ref());
+        let Some(instance) = instance else { return };
+        let known = self.largest_capacities.entry(instance.pool.clone()).or_default();
         *known = known.max_of_each(&room);
     }
 
-    /// What this entry has of an agent's pool.
+    /// Returns this entry's view of an agent's pool.
     #[must_use]
     pub fn pool_view(&self, key: AgentKey) -> PoolView {
-        let Some(life) = self.life(key) else { return PoolView::default() };
+        let Some(instance) = self.instance(key) else { return PoolView::default() };
         let is_of_pool = |agent: &&AgentView| {
-            agent.is_linked() && agent.life.as_ref().is_some_and(|other| other.pool == life.pool)
+            agent.is_linked()
+                && agent.instance.as_ref().is_some_and(|other| other.pool == instance.pool)
         };
         let agents = self.agents.values().filter(is_of_pool).count();
         PoolView {
             agents: u32::try_from(agents).unwrap_or(u32::MAX),
-            largest: self.largest.get(&life.pool).copied().unwrap_or_default(),
+            largest: self.largest_capacities.get(&instance.pool).copied().unwrap_or_default(),
         }
     }
 
-    /// The last known life of an agent's upstream.
+    /// The last instance that an agent has reported of its upstream.
     #[must_use]
-    pub fn life(&self, key: AgentKey) -> Option<&UpstreamInstance> {
-        self.agents.get(key)?.life.as_ref()
+    pub fn instance(&self, key: AgentKey) -> Option<&UpstreamInstance> {
+        self.agents.get(key)?.instance.as_ref()
     }
 
-    /// Counts a message to an agent, and what it places there.
+    /// Counts a message to an agent, with the tasks that it places there.
     pub fn message_sent(&mut self, key: AgentKey, placed: Option<&StepPlacement>, now_ms: u64) {
         let Some(view) = self.agents.get_mut(key) else { return };
         let message = view.echo.sent(now_ms);
         if let Some(placed) = placed {
             let count = u32::try_from(placed.tasks.len()).unwrap_or(u32::MAX);
-            view.sent(message, &placed.need, count, placed.run_ms);
+            view.record_placement(message, &placed.need, count, placed.run_ms);
         }
     }
 
-    /// Forgets agents that are gone for so long that nothing of theirs matters.
+    /// Removes agents that have been disconnected for so long that nothing of theirs matters any
+    /// more.
     pub fn forget_agents(&mut self, now_ms: u64, after_ms: u64) {
         let gone = self
             .agents
             .values()
-            .filter(|agent| !agent.connected && now_ms >= agent.heard_ms + after_ms);
+            .filter(|agent| !agent.connected && now_ms >= agent.last_heard_ms + after_ms);
         let gone: Vec<_> = gone.map(|agent| (agent.key, agent.name.clone())).collect();
         for (key, name) in gone {
-            self.lose_runs(key, |_, _| true, now_ms);
+            self.mark_runs_lost(key, |_, _| true, now_ms);
             self.agents.remove(key);
             self.by_name.remove(&name);
         }
--- a/crates/decide/src/dispatch/evacuation.rs
+++ b/crates/decide/src/dispatch/evacuation.rs
@@ -1,8 +1,8 @@
-//! Data centres that are evacuated by the operators' word: their upstreams get nothing
-//! more until they are taken back.
+//! Data centres that operators have evacuated: nothing is placed at their upstreams until the
+//! evacuation ends.
 //!
-//! It answers the loss of a planned part of the room: admission counts without it from
-//! the word on, before queues elsewhere show it.
+//! This covers a planned loss of capacity: admission ignores the capacity of an evacuated data
+//! centre at once, before queues elsewhere grow.
 
 use {
     super::{AgentKey, AgentView, Dispatch, Ending, NoResultReason},
@@ -10,40 +10,42 @@
 };
 
 impl Dispatch {
-    /// Takes other evacuations into force. Agents hand back what waits with them.
+    /// Replaces the evacuations in force. Agents hand back the tasks that wait with them.
     pub fn set_evacuations(&mut self, evacuations: Evacuations, now_ms: u64) {
         self.evacuations = evacuations;
         for agent in self.agents.values_mut() {
             agent.is_evacuated = self.evacuations.contains(&agent.data_centre);
         }
-        self.place_waiting(now_ms);
+        self.place_unplaced(now_ms);
     }
 
-    /// Names the data centre of an agent.
+    /// Sets the data centre of an agent.
     pub fn set_data_centre(&mut self, key: AgentKey, data_centre: &str) {
         let Some(view) = self.agents.get_mut(key) else { return };
         view.is_evacuated = self.evacuations.contains(data_centre);
         data_centre.clone_into(&mut view.data_centre);
     }
 
-    /// Whether all upstreams of a pool that this entry has links to are evacuated.
+    /// Whether this entry has links to upstreams of the pool and all of them are evacuated.
     pub(super) fn is_pool_evacuated(&self, pool: &str) -> bool {
-        self.are_all_evacuated(|agent| agent.life.as_ref().is_some_and(|life| life.pool == pool))
+        self.are_all_evacuated(|agent| {
+            agent.instance.as_ref().is_some_and(|instance| instance.pool == pool)
+        })
     }
 
-    /// Whether there are links to upstreams, and all of them are evacuated.
+    /// Whether this entry has links to upstreams and all of them are evacuated.
     #[must_use]
     pub fn is_all_evacuated(&self) -> bool {
         self.are_all_evacuated(|_| true)
     }
 
-    fn are_all_evacuated(&self, concerns: impl Fn(&AgentView) -> bool) -> bool {
-        let linked = self.agents.values().filter(|agent| agent.is_linked() && concerns(agent));
+    fn are_all_evacuated(&self, is_relevant: impl Fn(&AgentView) -> bool) -> bool {
+        let linked = self.agents.values().filter(|agent| agent.is_linked() && is_relevant(agent));
         let mut linked = linked.peekable();
         linked.peek().is_some() && linked.all(|agent| agent.is_evacuated)
     }
 
-    /// Gives up what has no upstream left to go to.
+    /// Gives up unplaced jobs whose pool is evacuated.
     pub(super) fn end_evacuated(&mut self) {
         if self.evacuations.data_centres.is_empty() {
             return;
@@ -54,7 +56,7 @@
         };
         let ended: Vec<_> = self.unplaced.iter().copied().filter(|&key| nowhere(key)).collect();
         for key in ended {
-            self.end(key, Ending::GivenUp(NoResultReason::Evacuated));
+            self.begin_ending(key, Ending::GivenUp(NoResultReason::Evacuated));
         }
     }
 }
--- a/crates/decide/src/dispatch/job.rs
+++ b/crates/decide/src/dispatch/job.rs
@@ -1,96 +1,98 @@
-//! One job at its entry: its steps, its tasks, and where each stands.
+//! One job at its entry: its steps, its tasks, and the state of each.
 
 use {
     super::types::{AgentKey, JobRequest, StepRequest},
     sycamorerail_wire::runs::{NotStarted, RunEvent, TaskKey},
 };
 
-/// Where a task stands.
+/// State of a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TaskState {
-    /// It is nowhere.
+    /// The task is at no agent.
     Unplaced,
-    /// An agent has it.
+    /// The task is at an agent.
     Placed {
         /// The agent.
         agent: AgentKey,
-        /// It was seen to begin.
+        /// Whether the agent has reported its start.
         started: bool,
-        /// When it was sent there.
+        /// When the task was sent there.
         since_ms: u64,
-        /// It was asked back.
+        /// Whether the task was recalled.
         recalled: bool,
     },
-    /// It ended well.
+    /// The task has succeeded.
     Done,
 }
 
-/// A result is of use up to so many times the span in which a job is in time:
-/// the users count it as late until then, and as none after.
-const USEFUL_SPANS: u64 = 3;
+/// A result is useful within this many times the objective span: users count it as late until
+/// then and as missing afterwards.
+const USEFUL_OBJECTIVE_SPANS: u64 = 3;
 
-/// Time over its objective, in percent of the span, within which a job that has
-/// not begun must still be able to end.
-const REFUSE_PERCENT: u64 = 50;
+/// Time past the objective, in percent of its span, within which a job that has not started must
+/// still be able to end.
+const REFUSE_PAST_OBJECTIVE_PERCENT: u64 = 50;
 
-/// Upstreams that may crash under one task before its job is given up: a task that brings
-/// it about takes all with it that runs there, each time it is started. Two would hit jobs
-/// that ran beside it twice; from then on they run apart from it.
+/// Maximum number of upstream crashes under one task before its job is given up: a task that
+/// causes them ends all other runs on the upstream each time it is started. After two, other jobs
+/// may have been hit twice; from then on suspect tasks run apart from each other.
 const MAX_CRASHES: u8 = 3;
 
-/// Crashes from which on a task runs apart from others like it. After one crash all that ran
-/// there would have to wait for each other: a lost upstream of ten tasks comes as often as
-/// VMs fail, and few tasks meet it twice.
+/// Number of crashes from which a task runs apart from other suspects. With one crash, all tasks
+/// of a lost upstream would wait for each other: upstreams with ten tasks are lost as often as
+/// VMs fail, and few tasks meet that twice.
 pub(super) const SUSPECT_CRASHES: u8 = 2;
 
-/// Refusals in a row after which a task rests: the first one sends it to another agent.
-const REFUSALS_AT_ONCE: u32 = 2;
+/// Consecutive refusals after which a task pauses. The first one sends it to another agent at
+/// once.
+const REFUSALS_BEFORE_PAUSE: u32 = 2;
 
-/// A task that agents refuse again and again rests this long, in milliseconds: one that runs
-/// for another entry, or upstreams that refuse all, would be asked a thousand times a second.
-const REST_MS: u64 = 50;
+/// Pause of a task that agents refuse repeatedly, in milliseconds. Without it, a task that runs
+/// for another entry, or upstreams that refuse everything, would cause a thousand placements a
+/// second.
+const REFUSAL_PAUSE_MS: u64 = 50;
 
 /// A task of a job.
 #[derive(Clone, Debug)]
 pub struct Task {
-    /// Where it stands.
+    /// State of the task.
     pub state: TaskState,
     /// Number of its last start.
     pub run: u32,
-    /// Ends as failed so far.
+    /// Number of failed runs so far.
     pub failures: u32,
-    /// Upstreams that crashed while it ran there, by what became of its runs.
+    /// Upstream crashes that ended a run which this entry had placed.
     pub crashes: u8,
-    /// The same by what agents told, who know of runs for other entries too.
-    pub crashes_told: u8,
-    /// The agent that gave it back last.
+    /// Upstream crashes that agents have reported, which include runs of other entries.
+    pub reported_crashes: u8,
+    /// The agent that returned the task last.
     pub avoid: Option<AgentKey>,
-    /// Refusals by agents since it last began.
+    /// Refusals since the task last started.
     refusals: u32,
-    /// It is placed nowhere until then.
-    rests_until_ms: u64,
+    /// The task is not placed before this time.
+    paused_until_ms: u64,
 }
 
 impl Task {
-    fn has_begun(&self) -> bool {
+    fn has_started(&self) -> bool {
         matches!(self.state, TaskState::Done | TaskState::Placed { started: true, .. })
     }
 
-    /// Whether it is to be placed.
+    /// Whether the task may be placed now.
     #[must_use]
-    pub fn is_due(&self, now_ms: u64) -> bool {
-        self.state == TaskState::Unplaced && now_ms >= self.rests_until_ms
+    pub fn is_placeable(&self, now_ms: u64) -> bool {
+        self.state == TaskState::Unplaced && now_ms >= self.paused_until_ms
     }
 
-    fn refused(&mut self, now_ms: u64) {
+    fn record_refusal(&mut self, now_ms: u64) {
         self.refusals += 1;
-        if self.refusals >= REFUSALS_AT_ONCE {
-            self.rests_until_ms = now_ms + REST_MS;
+        if self.refusals >= REFUSALS_BEFORE_PAUSE {
+            self.paused_until_ms = now_ms + REFUSAL_PAUSE_MS;
         }
     }
 
-    /// Whether upstreams crashed while it ran there so often that it runs apart from others
-    /// like it.
+    /// Whether so many upstreams crashed while the task ran there that it runs apart from other
+    /// suspects.
     #[must_use]
     pub fn is_suspect(&self) -> bool {
         self.all_crashes() >= SUSPECT_CRASHES
@@ -101,16 +103,16 @@
     }
 
     fn all_crashes(&self) -> u8 {
-        self.crashes.max(self.crashes_told)
+        self.crashes.max(self.reported_crashes)
     }
 
-    /// An agent has it no more.
-    fn give_back(&mut self, from: AgentKey) {
+    /// Marks the task as unplaced after `from` returned it.
+    fn mark_returned(&mut self, from: AgentKey) {
         self.state = TaskState::Unplaced;
         self.avoid = Some(from);
     }
 
-    /// The agent that has it.
+    /// The agent that has the task.
     #[must_use]
     pub fn agent(&self) -> Option<AgentKey> {
         match self.state {
@@ -127,62 +129,62 @@
 /// Why a job is being ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
-    /// Given up.
+    /// The job was given up.
     GivenUp(super::types::NoResultReason),
-    /// Answered already; what runs is being stopped.
+    /// The job is answered already; its remaining runs are being stopped.
     Answered,
 }
 
-/// A job.
+/// A job at its entry.
 #[derive(Debug)]
 pub struct Job {
-    /// What was handed in.
+    /// The request as submitted.
     pub request: JobRequest,
-    /// When it must end to be in time.
+    /// Time by which the job must end to be on time.
     pub objective_ms: u64,
-    /// When it was taken.
-    pub taken_ms: u64,
-    /// When its first steps were expected to end as it was taken.
+    /// When the job was accepted.
+    pub accepted_ms: u64,
+    /// When its first steps were expected to end, as of its admission.
     pub expected_end_ms: u64,
-    /// How long all of its steps were expected to take then.
-    pub expected_whole_ms: u64,
-    /// Its last task was not expected to start at once.
+    /// How long all of its steps were expected to take, as of its admission.
+    pub expected_total_ms: u64,
+    /// Whether its last task was not expected to start at once.
     pub has_to_wait: bool,
-    /// When its result is of no use any more.
+    /// When its result becomes useless.
     give_up_ms: u64,
-    /// When it is better refused, if no task of it has begun.
+    /// When the job is refused if none of its tasks has started.
     refuse_ms: u64,
     /// Tasks by step.
     pub tasks: Vec<Vec<Task>>,
-    /// Tasks not done, by step.
-    pub open: Vec<u16>,
-    /// A task was started, or may have been.
+    /// Number of unfinished tasks by step.
+    pub unfinished: Vec<u16>,
+    /// Whether a task was started, or may have been.
     pub may_have_run: bool,
-    /// Agents were told to finish it.
-    pub is_finishing: bool,
-    /// It is being ended.
+    /// Whether agents were told that most of its tasks have started.
+    pub told_mostly_started: bool,
+    /// Set while the job is being ended.
     pub ending: Option<Ending>,
-    /// It is given up for crashes, and not answered until then.
-    pub judged_ms: Option<u64>,
+    /// When a job that is given up for crashes is to be answered.
+    pub verdict_at_ms: Option<u64>,
 }
 
-/// What an event means for a job.
+/// What an event of a run means for the job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Outcome {
+pub enum RunEffect {
     /// Nothing more to do.
     Nothing,
-    /// A task must be placed anew.
+    /// A task must be placed again.
     PlaceAgain,
     /// All tasks are done.
     Completed,
-    /// A task failed for the last time.
+    /// A task has used up its attempts.
     Failed,
     /// Too many upstreams crashed while a task ran there.
     Crashing,
 }
 
 impl Job {
-    /// A job whose tasks are all unplaced.
+    /// Creates a job whose tasks are all unplaced.
     #[must_use]
     pub fn new(request: JobRequest) -> Self {
         let fresh = Task {
@@ -190,43 +192,45 @@
             run: 0,
             failures: 0,
             crashes: 0,
-            crashes_told: 0,
+            reported_crashes: 0,
             avoid: None,
             refusals: 0,
-            rests_until_ms: 0,
+            paused_until_ms: 0,
         };
         let tasks = request.steps.iter().map(|step| vec![fresh.clone(); step.count.into()]);
         let tasks = tasks.collect();
-        let open = request.steps.iter().map(|step| step.count).collect();
-        let stretched_ms = longest_chain_ms(&request.steps) as f64 * request.kind.stretch;
-        let span_ms = stretched_ms as u64 + u64::from(request.kind.target_ms);
-        let objective_ms = request.arrived_ms + span_ms;
-        let useful_until_ms = request.arrived_ms + span_ms * USEFUL_SPANS;
+        let unfinished = request.steps.iter().map(|step| step.count).collect();
+        let stretched_ms = longest_run_time_chain_ms(&request.steps) as f64 * request.kind.stretch;
+        let objective_span_ms = stretched_ms as u64 + u64::from(request.kind.target_ms);
+        let objective_ms = request.arrived_ms + objective_span_ms;
+        let useful_until_ms = request.arrived_ms + objective_span_ms * USEFUL_OBJECTIVE_SPANS;
         let give_up_ms = request.deadline_ms.min(useful_until_ms);
-        let refuse_ms = give_up_ms.min(objective_ms + span_ms * REFUSE_PERCENT / 100);
+        let refuse_ms =
+            give_up_ms.min(objective_ms + objective_span_ms * REFUSE_PAST_OBJECTIVE_PERCENT / 100);
         Self {
             request,
             objective_ms,
-            taken_ms: 0,
+            accepted_ms: 0,
             expected_end_ms: 0,
-            expected_whole_ms: 0,
+            expected_total_ms: 0,
             has_to_wait: false,
             give_up_ms,
             refuse_ms,
             tasks,
-            open,
+            unfinished,
             may_have_run: false,
-            is_finishing: false,
+            told_mostly_started: false,
             ending: None,
-            judged_ms: None,
+            verdict_at_ms: None,
         }
     }
 
-    /// When it must end: what has not begun is better refused than late, as its room goes
-    /// to others that are in time, and what waits for room is of no use later. One whose
-    /// tasks all run is finished for as long as its caller waits: with five of 58 upstreams
-    /// eight times as slow (model, 70 % of the room taken) 0.3 % of all jobs ended without
-    /// their result, 0.2 % so, and as many are in time.
+    /// Time by which the job must end. A job that has not started is refused rather than late, as
+    /// its room goes to jobs that can be on time. One that waits for room is given up once its
+    /// result is useless. One whose tasks all run continues as long as its caller waits: in a
+    /// simulation with five of 58 upstreams eight times as slow and 70 % of the capacity used,
+    /// this lowers the share of jobs without a result from 0.3 % to 0.2 %, and as many jobs are
+    /// on time.
     #[must_use]
     pub fn end_by_ms(&self) -> u64 {
         if !self.may_have_run {
@@ -239,25 +243,25 @@
     }
 
     fn is_all_running(&self) -> bool {
-        self.tasks.iter().flatten().all(Task::has_begun)
+        self.tasks.iter().flatten().all(Task::has_started)
     }
 
-    /// When it must end, by whether some upstream is usable. While there is none it waits
-    /// as long as its result is of use: it takes nobody's room, and after a restart of
-    /// everything upstreams are back within a second.
+    /// Time by which the job must end, depending on whether an upstream is usable. Without one it
+    /// waits as long as its result is useful: it takes room from nobody, and upstreams are back
+    /// within a second after a restart of everything.
     #[must_use]
-    pub fn end_by_with_ms(&self, has_upstream: bool) -> u64 {
+    pub fn end_by_given_upstream_ms(&self, has_upstream: bool) -> u64 {
         if has_upstream { self.end_by_ms() } else { self.end_by_ms().max(self.give_up_ms) }
     }
 
-    /// When its result is of no use any more.
+    /// When its result becomes useless.
     #[must_use]
     pub fn give_up_ms(&self) -> u64 {
         self.give_up_ms
     }
 
-    /// It is run as long as its result is of use, as its room is nobody else's.
-    pub fn bear_lateness(&mut self) {
+    /// Lets the job run as long as its result is useful, because it takes room from no other job.
+    pub fn allow_lateness(&mut self) {
         self.refuse_ms = self.give_up_ms;
     }
 
@@ -270,42 +274,42 @@
         self.request.steps.iter().map(of_step).sum()
     }
 
-    /// Longest chain of run times over its steps, by their estimates.
+    /// Run time of the longest chain of steps by their estimates, in milliseconds.
     #[must_use]
-    pub fn chain_ms(&self) -> u64 {
-        longest_chain_ms(&self.request.steps)
+    pub fn run_time_chain_ms(&self) -> u64 {
+        longest_run_time_chain_ms(&self.request.steps)
     }
 
-    /// Time within which it is in time.
+    /// Time from arrival within which the job is on time, in milliseconds.
     #[must_use]
-    pub fn span_ms(&self) -> u64 {
+    pub fn objective_span_ms(&self) -> u64 {
         self.objective_ms - self.request.arrived_ms
     }
 
-    /// When it must be expected to end to be taken now: within its span, as long as
-    /// its result is of use. One that was held up before, as by an entry's start, is
-    /// judged as if it came now.
+    /// Time by which the job must be expected to end to be accepted now: within the objective
+    /// span from now, and while its result is useful. A job that was delayed before, for example
+    /// by an entry's start, is treated as if it came now.
     #[must_use]
-    pub fn admit_ms(&self, now_ms: u64) -> u64 {
-        self.give_up_ms.min(now_ms + self.span_ms())
+    pub fn admission_deadline_ms(&self, now_ms: u64) -> u64 {
+        self.give_up_ms.min(now_ms + self.objective_span_ms())
     }
 
-    /// Whether the steps before this one are done.
+    /// Whether all steps that this one depends on are done.
     #[must_use]
-    pub fn is_due(&self, step: usize) -> bool {
+    pub fn is_step_ready(&self, step: usize) -> bool {
         let after = &self.request.steps[step].after;
-        after.iter().all(|before| self.open.get(usize::from(*before)) == Some(&0))
+        after.iter().all(|before| self.unfinished.get(usize::from(*before)) == Some(&0))
     }
 
-    /// Steps whose tasks may be placed and of which some are not.
+    /// Steps that are ready and have unplaced tasks.
     #[must_use]
     pub fn steps_to_place(&self) -> Vec<usize> {
         let unplaced = |step: &Vec<Task>| step.iter().any(|task| task.state == TaskState::Unplaced);
         let steps = (0..self.tasks.len()).filter(|&step| unplaced(&self.tasks[step]));
-        steps.filter(|&step| self.is_due(step)).collect()
+        steps.filter(|&step| self.is_step_ready(step)).collect()
     }
 
-    /// Whether a task is at an agent.
+    /// Whether any task is at an agent.
     #[must_use]
     pub fn has_placed(&self) -> bool {
         self.placed().next().is_some()
@@ -315,7 +319,7 @@
         self.tasks.iter().flatten().filter_map(Task::agent)
     }
 
-    /// Agents that have tasks of it.
+    /// Agents that have tasks of the job.
     #[must_use]
     pub fn agents(&self) -> Vec<AgentKey> {
         let mut agents: Vec<_> = self.placed().collect();
@@ -324,17 +328,17 @@
         agents
     }
 
-    /// Whether at least half of its tasks have begun or are done.
+    /// Whether at least half of the tasks have started or are done.
     #[must_use]
-    pub fn has_mostly_begun(&self) -> bool {
+    pub fn has_mostly_started(&self) -> bool {
         let all = self.tasks.iter().map(Vec::len).sum::<usize>();
-        let begun = self.tasks.iter().flatten().filter(|task| task.has_begun()).count();
+        let begun = self.tasks.iter().flatten().filter(|task| task.has_started()).count();
         begun * 2 >= all
     }
 
-    /// Agents that have tasks of it which have not begun.
+    /// Agents that have tasks of the job which have not started.
     #[must_use]
-    pub fn agents_not_begun(&self) -> Vec<AgentKey> {
+    pub fn agents_with_unstarted_tasks(&self) -> Vec<AgentKey> {
         let waiting = self.tasks.iter().flatten().filter_map(|task| match task.state {
             TaskState::Placed { agent, started: false, .. } => Some(agent),
             _ => None,
@@ -345,14 +349,14 @@
         agents
     }
 
-    /// Tasks of a step at an agent.
+    /// Number of tasks of a step at an agent.
     #[must_use]
     pub fn count_at(&self, step: usize, agent: AgentKey) -> u16 {
         let here = self.tasks[step].iter().filter(|task| task.is_at(agent));
         here.count().try_into().unwrap_or(u16::MAX)
     }
 
-    /// Tasks at an agent, with the numbers of their starts.
+    /// Tasks at an agent, with their run numbers.
     pub fn tasks_at(&self, agent: AgentKey) -> impl Iterator<Item = (TaskKey, u32)> {
         self.tasks.iter().enumerate().flat_map(move |(step, tasks)| {
             let here = tasks.iter().enumerate().filter(move |(_, task)| task.is_at(agent));
@@ -371,43 +375,43 @@
         self.tasks.get(usize::from(key.step))?.get(usize::from(key.index))
     }
 
-    /// Whether too many upstreams crashed while a task of it ran there.
+    /// Whether too many upstreams crashed while the task ran there.
     #[must_use]
     pub fn is_crashing(&self, task: TaskKey) -> bool {
         self.task(task).is_some_and(Task::is_crashing)
     }
 
-    /// Upstreams that crashed while runs of a task that this job started were there.
+    /// Upstream crashes that ended runs of a task which this entry had placed.
     #[must_use]
-    pub fn crashes_here(&self, task: TaskKey) -> Option<u8> {
+    pub fn own_crashes(&self, task: TaskKey) -> Option<u8> {
         self.task(task).map(|task| task.crashes)
     }
 
-    /// So many crashes of upstreams are known under a task.
-    pub fn crashes_told(&mut self, key: TaskKey, crashes: u8) {
+    /// Sets the number of crashes that are known under a task.
+    pub fn set_reported_crashes(&mut self, key: TaskKey, crashes: u8) {
         let step = self.tasks.get_mut(usize::from(key.step));
         if let Some(task) = step.and_then(|step| step.get_mut(usize::from(key.index))) {
-            task.crashes_told = crashes;
+            task.reported_crashes = crashes;
         }
     }
 
-    /// The key of a task; `None` beyond the numbers that messages can carry.
+    /// The key of a task; `None` if a number is too large for messages.
     #[must_use]
     pub fn key_of(&self, step: usize, index: usize) -> Option<TaskKey> {
         let (step, index) = (u8::try_from(step).ok()?, u16::try_from(index).ok()?);
         Some(TaskKey { job: self.request.id, step, index })
     }
 
-    /// Takes note of what became of a run; `None` if it is not the task's
-    /// present run at that agent.
-    pub fn apply(
+    /// Applies what an agent reports of a run. Returns `None` if it is not the task's current run
+    /// at that agent.
+    pub fn apply_run_event(
         &mut self,
         key: TaskKey,
         run: u32,
         event: RunEvent,
         from: AgentKey,
         now_ms: u64,
-    ) -> Option<Outcome> {
+    ) -> Option<RunEffect> {
         let step = usize::from(key.step);
         let max_attempts = self.request.kind.max_attempts.max(1);
         let task = self.tasks.get_mut(step)?.get_mut(usize::from(key.index))?;
@@ -415,63 +419,67 @@
         if agent != from || task.run != run {
             return None;
         }
-        let outcome = match event {
+        let effect = match event {
             RunEvent::Started => {
                 task.state = TaskState::Placed { agent, started: true, since_ms, recalled: false };
                 task.refusals = 0;
                 self.may_have_run = true;
-                return Some(Outcome::Nothing);
+                return Some(RunEffect::Nothing);
             }
             RunEvent::Done { .. } => {
                 task.state = TaskState::Done;
                 self.may_have_run = true;
-                self.open[step] -= 1;
-                if self.open.iter().all(|open| *open == 0) {
-                    Outcome::Completed
-                } else if self.open[step] == 0 {
-                    Outcome::PlaceAgain
+                self.unfinished[step] -= 1;
+                if self.unfinished.iter().all(|unfinished| *unfinished == 0) {
+                    RunEffect::Completed
+                } else if self.unfinished[step] == 0 {
+                    RunEffect::PlaceAgain
                 } else {
-                    Outcome::Nothing
+                    RunEffect::Nothing
                 }
             }
             RunEvent::Failed { .. } => {
-                task.give_back(from);
+                task.mark_returned(from);
                 task.failures += 1;
                 self.may_have_run = true;
-                if task.failures >= max_attempts { Outcome::Failed } else { Outcome::PlaceAgain }
+                if task.failures >= max_attempts {
+                    RunEffect::Failed
+                } else {
+                    RunEffect::PlaceAgain
+                }
             }
             RunEvent::Stopped | RunEvent::Lost => {
-                task.give_back(from);
+                task.mark_returned(from);
                 self.may_have_run = true;
-                Outcome::PlaceAgain
+                RunEffect::PlaceAgain
             }
             RunEvent::Crashed => {
-                task.give_back(from);
+                task.mark_returned(from);
                 task.crashes += 1;
                 self.may_have_run = true;
-                if task.is_crashing() { Outcome::Crashing } else { Outcome::PlaceAgain }
+                if task.is_crashing() { RunEffect::Crashing } else { RunEffect::PlaceAgain }
             }
             RunEvent::NotStarted(why) => {
-                task.give_back(from);
+                task.mark_returned(from);
                 match why {
-                    NotStarted::OldRun => task.run += OLD_RUN_STEP,
-                    NotStarted::Refused => task.refused(now_ms),
+                    NotStarted::OldRun => task.run += OLD_RUN_SKIP,
+                    NotStarted::Refused => task.record_refusal(now_ms),
                     _ => {}
                 }
-                Outcome::PlaceAgain
+                RunEffect::PlaceAgain
             }
         };
-        Some(outcome)
+        Some(effect)
     }
 }
 
-/// Start numbers passed over when an upstream has seen a higher one: another
-/// entry started the task there for an earlier submission of the same job.
-const OLD_RUN_STEP: u32 = 8;
+/// Run numbers to skip when an upstream has seen a higher one, because another entry started the
+/// task there for an earlier submission of the same job.
+const OLD_RUN_SKIP: u32 = 8;
 
-/// Longest chain of run times over the steps' order, in milliseconds. Steps name
-/// only earlier ones.
-fn longest_chain_ms(steps: &[StepRequest]) -> u64 {
+/// Run time of the longest chain of dependent steps, in milliseconds. Steps depend on earlier
+/// ones only.
+fn longest_run_time_chain_ms(steps: &[StepRequest]) -> u64 {
     let mut ends: Vec<u64> = Vec::with_capacity(steps.len());
     for step in steps {
         let before = step.after.iter().filter_map(|&before| ends.get(usize::from(before)));
--- a/crates/decide/src/dispatch/place.rs
+++ b/crates/decide/src/dispatch/place.rs
@@ -1,10 +1,10 @@
-//! Who is turned away, and where tasks go.
+//! Admission of jobs and placement of their tasks.
 
 use {
     super::{
-        AgentKey, AgentView, Asked, Command, Dispatch, EVACUATED_RETRY_MS, Expected, Job,
-        JobAnswer, JobForecast, JobKey, NOT_HERE_RETRY_MS, NoResultReason, Planned, RETRY_MS,
-        SAME_END_MS, SAME_ROOM_TASKS, StepRequest,
+        AgentKey, AgentView, Command, Dispatch, EQUAL_COST_MS, EVACUATED_RETRY_MS, Job, JobAnswer,
+        JobForecast, JobKey, NOT_HERE_RETRY_MS, NoResultReason, PlannedTasks, RETRY_RANGE_MS,
+        ROOM_CLASS_TASKS, StepRequest, TaskDemand, TaskEstimate,
         job::{Task, TaskState},
         kinds::KindRecord,
     },
@@ -12,83 +12,88 @@
     sycamorerail_wire::runs::{Resources, StepPlacement, TaskStart},
 };
 
-/// A task with the agent that is to have it.
+/// A task with the agent chosen for it.
 struct PlannedTask {
     index: u16,
     agent: AgentKey,
-    expected: Expected,
+    estimate: TaskEstimate,
 }
 
 impl Dispatch {
-    /// Whether the whole job can be in time, by what is known. One that would be late
-    /// is better refused at once than done: its room goes to others that are in time.
+    /// Checks whether the whole job can be on time. A job that would be late is refused at once,
+    /// so that its room goes to jobs that can be on time.
     pub(super) fn admit(&self, job: &Job, forecast: &JobForecast) -> Result<(), JobAnswer> {
-        if job.request.steps.iter().any(|wanted| self.never_fits(job, wanted)) {
+        if job.request.steps.iter().any(|step_request| self.never_fits(job, step_request)) {
             return Err(JobAnswer::Failed);
         }
         if self.is_pool_evacuated(&job.request.kind.pool) {
             let retry_after_ms = EVACUATED_RETRY_MS;
             return Err(JobAnswer::NotRun { reason: NoResultReason::Evacuated, retry_after_ms });
         }
-        if job.request.steps.iter().any(|wanted| self.fits_only_elsewhere(job, wanted)) {
+        if job.request.steps.iter().any(|step_request| self.fits_only_elsewhere(job, step_request))
+        {
             let retry_after_ms = NOT_HERE_RETRY_MS;
             return Err(JobAnswer::NotRun { reason: NoResultReason::NotHere, retry_after_ms });
         }
-        if forecast.is_in_time() || forecast.is_late_without_harm() {
+        if forecast.is_in_time() || forecast.is_late_but_useful() {
             return Ok(());
         }
-        let retry_after_ms = forecast.wait_ms.clamp(RETRY_MS.0, RETRY_MS.1);
+        let retry_after_ms = forecast.wait_ms.clamp(RETRY_RANGE_MS.0, RETRY_RANGE_MS.1);
         let retry_after_ms = u32::try_from(retry_after_ms).unwrap_or(u32::MAX);
         Err(JobAnswer::NotRun { reason: NoResultReason::Overload, retry_after_ms })
     }
 
-    /// When the tasks that may be placed now will all have ended.
+    /// Forecasts when all tasks that may be placed now will have ended.
     pub(super) fn forecast(&self, job: &Job, now_ms: u64) -> JobForecast {
         let steps = job.steps_to_place();
-        let plans = steps.into_iter().flat_map(|step| self.plan(job, step, now_ms));
-        let last = plans.max_by_key(|planned| planned.expected.end_ms);
+        let plans = steps.into_iter().flat_map(|step| self.plan_step(job, step, now_ms));
+        let last = plans.max_by_key(|planned| planned.estimate.end_ms);
         let (end_in_ms, wait_ms) =
-            last.map_or((0, 0), |last| (last.expected.end_ms, last.expected.wait_ms));
+            last.map_or((0, 0), |last| (last.estimate.end_ms, last.estimate.wait_ms));
         let late_ms = if wait_ms > 0 { self.lateness_ms(job, now_ms) } else { 0 };
-        let admit_ms =
-            if self.is_recovering(now_ms) { job.give_up_ms() } else { job.admit_ms(now_ms) };
+        let admission_deadline_ms = if self.is_recovering(now_ms) {
+            job.give_up_ms()
+        } else {
+            job.admission_deadline_ms(now_ms)
+        };
         JobForecast {
             end_in_ms,
             wait_ms,
             late_ms,
-            must_end_in_ms: admit_ms.saturating_sub(now_ms),
-            of_use_in_ms: job.give_up_ms().saturating_sub(now_ms),
+            must_end_in_ms: admission_deadline_ms.saturating_sub(now_ms),
+            useful_for_ms: job.give_up_ms().saturating_sub(now_ms),
             strain_percent: self.strain_percent(job, now_ms),
-            stops_in_ms: self.stops_ms.map(|stops_ms| stops_ms.saturating_sub(now_ms)),
+            stops_in_ms: self.stop_at_ms.map(|stop_at_ms| stop_at_ms.saturating_sub(now_ms)),
         }
     }
 
-    /// How much later than forecast jobs of the kind end now, in milliseconds.
+    /// How much later than forecast jobs of the kind currently end, in milliseconds.
     fn lateness_ms(&self, job: &Job, now_ms: u64) -> i64 {
         self.kinds.get(&job.request.kind.name).map_or(0, |kind| kind.lateness_ms(now_ms))
     }
 
-    /// Whether upstreams of the pool are known and none could ever hold it, here or
-    /// elsewhere: an entry has links to some of them only.
+    /// Whether upstreams of the pool are known and none could ever hold the task, at this entry
+    /// or another: an entry has links to some of them only.
     fn never_fits(&self, job: &Job, step: &StepRequest) -> bool {
         let pool = &*job.request.kind.pool;
-        let mut of_pool = self.agents.values().filter_map(|agent| agent.life.as_ref());
-        let known = of_pool.any(|life| life.pool == pool);
-        let fits = |agent: &AgentView| agent.suits(pool, &step.need, None);
-        let elsewhere = self.largest.get(pool).is_some_and(|largest| largest.covers(&step.need));
+        let mut of_pool = self.agents.values().filter_map(|agent| agent.instance.as_ref());
+        let known = of_pool.any(|instance| instance.pool == pool);
+        let fits = |agent: &AgentView| agent.can_run(pool, &step.need, None);
+        let elsewhere =
+            self.largest_capacities.get(pool).is_some_and(|largest| largest.covers(&step.need));
         known && !elsewhere && !self.agents.values().any(fits)
     }
 
-    /// Whether there are links to upstreams of the pool, but to none that could hold it.
+    /// Whether there are links to upstreams of the pool, but to none that could hold the task.
     fn fits_only_elsewhere(&self, job: &Job, step: &StepRequest) -> bool {
         let pool = &*job.request.kind.pool;
         let linked = || self.agents.values().filter(|agent| agent.is_serving());
         let label = step.required_label.as_deref();
-        linked().any(|agent| agent.suits(pool, &Resources::default(), None))
-            && !linked().any(|agent| agent.suits(pool, &step.need, label))
+        linked().any(|agent| agent.can_run(pool, &Resources::default(), None))
+            && !linked().any(|agent| agent.can_run(pool, &step.need, label))
     }
 
-    /// Agents that are usable now and could run a task of the step.
+    /// Usable agents that could run a task of the step.
     fn candidates<'a>(
         &'a self,
         job: &'a Job,
@@ -97,28 +102,28 @@
     ) -> impl Iterator<Item = &'a AgentView> {
         self.agents.values().filter(move |agent| {
             agent.is_usable(now_ms, self.limits.suspect_ms)
-                && agent.suits(&job.request.kind.pool, &step.need, step.required_label.as_deref())
+                && agent.can_run(&job.request.kind.pool, &step.need, step.required_label.as_deref())
         })
     }
 
-    fn asked<'a>(&self, job: &Job, step: &'a StepRequest) -> Asked<'a> {
-        Asked {
+    fn demand_of<'a>(&self, job: &Job, step: &'a StepRequest) -> TaskDemand<'a> {
+        TaskDemand {
             need: &step.need,
-            run_ms: self.corrected_ms(job, step),
+            run_ms: self.corrected_run_ms(job, step),
             priority: job.request.kind.priority,
-            prefers: step.preferred_label.as_deref(),
+            preferred_label: step.preferred_label.as_deref(),
         }
     }
 
-    pub(super) fn corrected_ms(&self, job: &Job, step: &StepRequest) -> u32 {
+    pub(super) fn corrected_run_ms(&self, job: &Job, step: &StepRequest) -> u32 {
         let kind = self.kinds.get(&job.request.kind.name);
-        let percent = kind.map_or(100, KindRecord::work_percent);
+        let percent = kind.map_or(100, KindRecord::run_time_percent);
         let corrected = u64::from(step.run_ms) * u64::from(percent) / 100;
         u32::try_from(corrected).unwrap_or(u32::MAX)
     }
 
-    /// Places what is unplaced of a job, as far as agents are usable.
-    pub(super) fn place(&mut self, key: JobKey, now_ms: u64) {
+    /// Places the unplaced tasks of a job, as far as agents are usable.
+    pub(super) fn place_job(&mut self, key: JobKey, now_ms: u64) {
         let Some(job) = self.jobs.get(key) else { return };
         if job.ending.is_some() {
             return;
@@ -134,9 +139,9 @@
         }
     }
 
-    /// Places the tasks of a step; returns whether none is left unplaced.
+    /// Places the tasks of a step. Returns whether none is left unplaced.
     fn place_step(&mut self, key: JobKey, step: usize, now_ms: u64) -> bool {
-        let chosen = self.choose(key, step, now_ms);
+        let chosen = self.plan_step_in_time(key, step, now_ms);
         let Some(job) = self.jobs.get_mut(key) else { return true };
         let mut by_agent: BTreeMap<(AgentKey, bool), Vec<TaskStart>> = BTreeMap::new();
         for PlannedTask { index, agent, .. } in chosen {
@@ -151,7 +156,7 @@
         let placements: Vec<_> = by_agent
             .into_iter()
             .map(|((agent, suspect), tasks)| {
-                (agent, self.placement(key, step, tasks, suspect, now_ms))
+                (agent, self.build_placement(key, step, tasks, suspect, now_ms))
             })
             .collect();
         for (agent, placement) in placements {
@@ -160,7 +165,7 @@
         all
     }
 
-    fn placement(
+    fn build_placement(
         &self,
         key: JobKey,
         step: usize,
@@ -169,56 +174,56 @@
         now_ms: u64,
     ) -> Option<StepPlacement> {
         let job = self.jobs.get(key)?;
-        let wanted = &job.request.steps[step];
+        let step_request = &job.request.steps[step];
         let left = |at_ms: u64| u32::try_from(at_ms.saturating_sub(now_ms)).unwrap_or(u32::MAX);
         Some(StepPlacement {
             job: job.request.id,
             step: u8::try_from(step).ok()?,
             spec: job.request.spec.clone(),
             tasks,
-            need: wanted.need,
-            run_ms: self.corrected_ms(job, wanted),
+            need: step_request.need,
+            run_ms: self.corrected_run_ms(job, step_request),
             priority: job.request.kind.priority,
             objective_in_ms: left(job.objective_ms),
             give_up_in_ms: left(job.end_by_ms()),
-            job_mostly_started: job.has_mostly_begun(),
+            job_mostly_started: job.has_mostly_started(),
             suspect,
         })
     }
 
-    /// An agent for each unplaced task of a step, where one is usable.
-    fn plan(&self, job: &Job, step: usize, now_ms: u64) -> Vec<PlannedTask> {
-        let wanted = &job.request.steps[step];
-        let asked = self.asked(job, wanted);
-        let candidates = self.candidates(job, wanted, now_ms);
-        let mut candidates: Vec<_> = candidates.map(|agent| (agent, Planned::default())).collect();
+    /// Chooses an agent for each unplaced task of a step, where one is usable.
+    fn plan_step(&self, job: &Job, step: usize, now_ms: u64) -> Vec<PlannedTask> {
+        let step_request = &job.request.steps[step];
+        let demand = self.demand_of(job, step_request);
+        let candidates = self.candidates(job, step_request, now_ms);
+        let mut candidates: Vec<_> =
+            candidates.map(|agent| (agent, PlannedTasks::default())).collect();
         if candidates.is_empty() {
             return Vec::new();
         }
         candidates.sort_unstable_by_key(|(agent, _)| agent.rank);
-        let mut taken = self.agents_with_suspects(job, step);
+        let mut suspect_agents = self.agents_with_suspects(job, step);
         let mut plan = Vec::new();
         for (index, task) in job.tasks[step].iter().enumerate() {
-            if !task.is_due(now_ms) {
+            if !task.is_placeable(now_ms) {
                 continue;
             }
-            let kept_free = if task.is_suspect() { &*taken } else { &[] };
-            let best = best_of(&candidates, job, step, &asked, task.avoid, kept_free);
-            let (Some((best, expected)), Ok(index)) = (best, u16::try_from(index)) else {
+            let excluded = if task.is_suspect() { &*suspect_agents } else { &[] };
+            let best = best_candidate(&candidates, job, step, &demand, task.avoid, excluded);
+            let (Some((best, estimate)), Ok(index)) = (best, u16::try_from(index)) else {
                 continue;
             };
             let (agent, planned) = &mut candidates[best];
-            planned.add(asked.need, asked.run_ms);
+            planned.add(demand.need, demand.run_ms);
             if task.is_suspect() {
-                taken.push(agent.key);
+                suspect_agents.push(agent.key);
             }
-            plan.push(PlannedTask { index, agent: agent.key, expected });
+            plan.push(PlannedTask { index, agent: agent.key, estimate });
         }
         plan
     }
 
-    /// Agents that have a task under which upstreams crashed, if the step to be placed has
-    /// such tasks, too.
+    /// Agents that have a suspect task, if the step to be placed has suspect tasks, too.
     fn agents_with_suspects(&self, job: &Job, step: usize) -> Vec<AgentKey> {
         if !job.tasks[step].iter().any(Task::is_suspect) {
             return Vec::new();
@@ -227,80 +232,81 @@
         all.filter(|task| task.is_suspect()).filter_map(Task::agent).collect()
     }
 
-    /// The part of a plan with which tasks end before nobody waits for the job.
-    fn choose(&mut self, key: JobKey, step: usize, now_ms: u64) -> Vec<PlannedTask> {
+    /// Plans a step and drops the tasks that would end too late.
+    fn plan_step_in_time(&mut self, key: JobKey, step: usize, now_ms: u64) -> Vec<PlannedTask> {
         let Some(job) = self.jobs.get(key) else { return Vec::new() };
-        let mut plan = self.plan(job, step, now_ms);
-        let starts_at_once = plan.iter().all(|planned| planned.expected.wait_ms == 0);
+        let mut plan = self.plan_step(job, step, now_ms);
+        let starts_at_once = plan.iter().all(|planned| planned.estimate.wait_ms == 0);
         let is_late =
-            |end_by_ms| move |planned: &PlannedTask| now_ms + planned.expected.end_ms > end_by_ms;
+            |end_by_ms| move |planned: &PlannedTask| now_ms + planned.estimate.end_ms > end_by_ms;
         if starts_at_once && plan.iter().any(is_late(job.end_by_ms())) {
-            self.jobs[key].bear_lateness();
+            self.jobs[key].allow_lateness();
         }
         let is_too_late = is_late(self.jobs[key].end_by_ms());
         plan.retain(|planned| !is_too_late(planned));
         plan
     }
 
-    /// Tries again to place what is unplaced.
-    pub(super) fn place_waiting(&mut self, now_ms: u64) {
+    /// Tries again to place the unplaced tasks of all jobs.
+    pub(super) fn place_unplaced(&mut self, now_ms: u64) {
         for key in self.unplaced.clone() {
-            self.place(key, now_ms);
+            self.place_job(key, now_ms);
         }
     }
 
-    /// Whether a job with an unplaced task can end no more before its caller
-    /// leaves, even if an upstream took the task now.
+    /// Whether a job with unplaced tasks can no longer end before its caller stops waiting, even
+    /// if an upstream started them now.
     pub(super) fn is_hopeless(&self, key: JobKey, has_upstream: bool, now_ms: u64) -> bool {
         let Some(job) = self.jobs.get(key) else { return false };
         let steps = job.steps_to_place();
-        let longest = steps.iter().map(|&step| self.corrected_ms(job, &job.request.steps[step]));
+        let longest =
+            steps.iter().map(|&step| self.corrected_run_ms(job, &job.request.steps[step]));
         let run_ms = u64::from(longest.max().unwrap_or(0));
-        now_ms + run_ms > job.end_by_with_ms(has_upstream)
+        now_ms + run_ms > job.end_by_given_upstream_ms(has_upstream)
     }
 }
 
-/// The candidate that ends a task first; among equals one of those with most room, the
-/// first in the entry's own order. An agent that gave the task back is taken only if there
-/// is no other, those that are kept free of it never.
-fn best_of(
-    candidates: &[(&AgentView, Planned)],
+/// Returns the candidate with the lowest cost; among equals the one with the most room, then the
+/// first in the entry's own order. The agent that returned the task is used only if there is no
+/// other; the agents in `excluded` are never used.
+fn best_candidate(
+    candidates: &[(&AgentView, PlannedTasks)],
     job: &Job,
     step: usize,
-    asked: &Asked<'_>,
+    demand: &TaskDemand<'_>,
     avoid: Option<AgentKey>,
-    kept_free: &[AgentKey],
-) -> Option<(usize, Expected)> {
-    let wanted = &job.request.steps[step];
-    let mut best: Option<(usize, Expected)> = None;
+    excluded: &[AgentKey],
+) -> Option<(usize, TaskEstimate)> {
+    let step_request = &job.request.steps[step];
+    let mut best: Option<(usize, TaskEstimate)> = None;
     let others = candidates.len() > 1;
     for (place, (agent, planned)) in candidates.iter().enumerate() {
-        let full = wanted
+        let full = step_request
             .max_per_upstream
             .is_some_and(|most| job.count_at(step, agent.key) + planned.count >= most);
-        if full || (others && avoid == Some(agent.key)) || kept_free.contains(&agent.key) {
+        if full || (others && avoid == Some(agent.key)) || excluded.contains(&agent.key) {
             continue;
         }
-        let expected = agent.expect(planned, asked);
-        let better = best.is_none_or(|(_, known)| is_better(&expected, &known));
+        let estimate = agent.estimate(planned, demand);
+        let better = best.is_none_or(|(_, known)| is_better(&estimate, &known));
         if better {
-            best = Some((place, expected));
+            best = Some((place, estimate));
         }
     }
     best
 }
 
-/// Among those that end a task as early: one with clearly more room, or with as much and
-/// fewer tasks of the same job.
-fn is_better(one: &Expected, other: &Expected) -> bool {
-    if one.cost_ms.abs_diff(other.cost_ms) > SAME_END_MS {
+/// Whether an estimate is better: clearly lower cost, else clearly more room, else fewer tasks of
+/// the same job.
+fn is_better(one: &TaskEstimate, other: &TaskEstimate) -> bool {
+    if one.cost_ms.abs_diff(other.cost_ms) > EQUAL_COST_MS {
         return one.cost_ms < other.cost_ms;
     }
     let (room, other_room) = (room_class(one), room_class(other));
     room > other_room || (room == other_room && one.planned < other.planned)
 }
 
-/// Upstreams of one class are alike; without any room is a class of its own.
-fn room_class(expected: &Expected) -> u32 {
-    if expected.room_for == 0 { 0 } else { 1 + expected.room_for / SAME_ROOM_TASKS }
+/// Estimates of the same class count as equal. No room at all is a class of its own.
+fn room_class(estimate: &TaskEstimate) -> u32 {
+    if estimate.room_for_tasks == 0 { 0 } else { 1 + estimate.room_for_tasks / ROOM_CLASS_TASKS }
 }
--- a/crates/decide/src/dispatch/recall.rs
+++ b/crates/decide/src/dispatch/recall.rs
@@ -1,4 +1,4 @@
-//! Tasks that wait at one agent while another has room.
+//! Recall of tasks that wait at one agent while another has room.
 
 use {
     super::{AgentKey, Command, Dispatch, Job, JobKey, job::TaskState},
@@ -6,15 +6,15 @@
     sycamorerail_wire::runs::TaskKey,
 };
 
-/// A task that has not begun after this much time waits: starts are told within
-/// 5 ms as a rule. Doubled with each start number, or tasks would go round between
-/// full upstreams, as room is claimed by several entries at once.
+/// A task without a start after this time counts as waiting: starts are usually reported within 5
+/// ms. The time doubles with each run number; otherwise tasks would circulate between full
+/// upstreams, as several entries claim the same room.
 const RECALL_AFTER_MS: u64 = 15;
-/// Doublings of it at most.
+/// Maximum number of doublings.
 const MAX_DOUBLINGS: u32 = 6;
 
 /// A task that waits at an agent.
-struct Waiting {
+struct WaitingTask {
     job: JobKey,
     task: TaskKey,
     at: AgentKey,
@@ -23,21 +23,21 @@
 }
 
 impl Dispatch {
-    /// Asks tasks back that wait at other agents, for the room that this one has.
+    /// Recalls tasks that wait at other agents, for the room of this one.
     ///
-    /// A job waits for its slowest task, and run times are off by 40 %: without it
-    /// some tasks queue at one upstream while others have room again.
+    /// A job waits for its slowest task, and run times are off by 40 %: without recalls some
+    /// tasks queue at one upstream while others have room again.
     pub(super) fn recall_for(&mut self, agent: AgentKey, now_ms: u64) {
         let Some(view) = self.agents.get(agent) else { return };
         if !view.is_usable(now_ms, self.limits.suspect_ms) || view.load.waiting > 0 {
             return;
         }
-        // The rest is for what comes, here and at other entries.
+        // The other half is left for new jobs, here and at other entries.
         let mut room_milli = view.free_cpu_milli() / 2;
         let mut waiting = self.waiting_elsewhere(agent, now_ms);
         waiting.sort_unstable_by_key(|waiting| waiting.end_by_ms);
         let mut by_agent: BTreeMap<AgentKey, Vec<TaskKey>> = BTreeMap::new();
-        for Waiting { job, task, at, need_milli, .. } in waiting {
+        for WaitingTask { job, task, at, need_milli, .. } in waiting {
             let Some(left) = room_milli.checked_sub(need_milli) else { break };
             room_milli = left;
             by_agent.entry(at).or_default().push(task);
@@ -51,23 +51,26 @@
         self.commands.extend(recalls);
     }
 
-    /// Tells agents to go on with the last tasks of jobs that have mostly begun.
-    pub(super) fn finish_begun(&mut self, now_ms: u64) {
-        let may_finish = |job: &Job| {
-            job.ending.is_none() && job.may_have_run && !job.is_finishing && job.has_mostly_begun()
+    /// Tells agents to go on with the last tasks of jobs that have mostly started.
+    pub(super) fn announce_mostly_started(&mut self, now_ms: u64) {
+        let is_unannounced = |job: &Job| {
+            job.ending.is_none()
+                && job.may_have_run
+                && !job.told_mostly_started
+                && job.has_mostly_started()
         };
-        for job in self.jobs.values_mut().filter(|job| may_finish(job)) {
-            job.is_finishing = true;
+        for job in self.jobs.values_mut().filter(|job| is_unannounced(job)) {
+            job.told_mostly_started = true;
             let left_ms = job.end_by_ms().saturating_sub(now_ms);
             let give_up_in_ms = u32::try_from(left_ms).unwrap_or(u32::MAX);
             let id = job.request.id;
-            let finish = |agent| Command::Finish(agent, id, give_up_in_ms);
-            self.commands.extend(job.agents_not_begun().into_iter().map(finish));
+            let finish = |agent| Command::JobMostlyStarted(agent, id, give_up_in_ms);
+            self.commands.extend(job.agents_with_unstarted_tasks().into_iter().map(finish));
         }
     }
 
-    /// Tasks that wait at other agents for a while, and could run at this one.
-    fn waiting_elsewhere(&self, agent: AgentKey, now_ms: u64) -> Vec<Waiting> {
+    /// Tasks that have waited at other agents for a while and could run at this one.
+    fn waiting_elsewhere(&self, agent: AgentKey, now_ms: u64) -> Vec<WaitingTask> {
         let is_queue = |at: AgentKey| {
             at != agent && self.agents.get(at).is_some_and(|view| view.load.waiting > 0)
         };
@@ -77,9 +80,9 @@
         let view = &self.agents[agent];
         let mut found = Vec::new();
         for (key, job) in self.jobs.iter().filter(|(_, job)| job.ending.is_none()) {
-            for (step, wanted) in job.request.steps.iter().enumerate() {
-                let label = wanted.required_label.as_deref();
-                if view.suits(&job.request.kind.pool, &wanted.need, label) {
+            for (step, step_request) in job.request.steps.iter().enumerate() {
+                let label = step_request.required_label.as_deref();
+                if view.can_run(&job.request.kind.pool, &step_request.need, label) {
                     let waiting = waiting_tasks(key, job, step, now_ms);
                     found.extend(waiting.filter(|waiting| is_queue(waiting.at)));
                 }
@@ -89,24 +92,24 @@
     }
 }
 
-/// Tasks of a step that an agent has had for long enough without a start.
+/// Tasks of a step that an agent has held for long enough without a start.
 fn waiting_tasks(
     key: JobKey,
     job: &Job,
     step: usize,
     now_ms: u64,
-) -> impl Iterator<Item = Waiting> + '_ {
+) -> impl Iterator<Item = WaitingTask> + '_ {
     let need_milli = job.request.steps[step].need.cpu_milli;
     job.tasks[step].iter().enumerate().filter_map(move |(index, task)| {
         let TaskState::Placed { agent: at, started: false, since_ms, recalled: false } = task.state
         else {
             return None;
         };
-        let patience_ms = RECALL_AFTER_MS << task.run.saturating_sub(1).min(MAX_DOUBLINGS);
-        if now_ms < since_ms + patience_ms {
+        let min_wait_ms = RECALL_AFTER_MS << task.run.saturating_sub(1).min(MAX_DOUBLINGS);
+        if now_ms < since_ms + min_wait_ms {
             return None;
         }
         let task = job.key_of(step, index)?;
-        Some(Waiting { job: key, task, at, need_milli, end_by_ms: job.objective_ms })
+        Some(WaitingTask { job: key, task, at, need_milli, end_by_ms: job.objective_ms })
     })
 }
--- a/crates/decide/src/dispatch/types.rs
+++ b/crates/decide/src/dispatch/types.rs
@@ -1,4 +1,4 @@
-//! What goes into the dispatch of jobs and what comes out of it.
+//! Inputs and outputs of the dispatch of jobs.
 
 use {
     slotmap::new_key_type,
@@ -9,124 +9,125 @@
 new_key_type! {
     /// A job at its entry.
     pub struct JobKey;
-    /// An agent as an entry sees it, over all of its connections and runs.
+    /// An agent at an entry, over all of its connections and incarnations.
     pub struct AgentKey;
 }
 
-/// What an entry has of one pool of upstreams.
+/// An entry's view of one pool of upstreams.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PoolView {
-    /// Agents that are linked to it.
+    /// Number of linked agents of the pool.
     pub agents: u32,
-    /// The most of each that an upstream of the pool has, here or elsewhere.
+    /// Largest capacity of an upstream in the pool, at this entry or another.
     pub largest: Resources,
 }
 
-/// Figures of the dispatch, from the settings.
+/// Limits of the dispatch, from the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DispatchLimits {
-    /// An agent not heard for this long gets no new work.
+    /// Silence of an agent after which it gets no new work, in milliseconds.
     pub suspect_ms: u64,
-    /// An agent not heard for this long has ended all that it ran for us.
+    /// Silence of an agent after which all its runs for this entry have ended, in milliseconds.
     pub lost_ms: u64,
-    /// Jobs held at once; more are refused.
+    /// Maximum number of jobs held at once; more are refused.
     pub max_jobs: usize,
 }
 
 impl Default for DispatchLimits {
     fn default() -> Self {
         Self {
-            // A heartbeat each way of 200 ms and the time of a slow turn.
+            // A heartbeat of 200 ms in each direction, and the time of a slow turn.
             suspect_ms: 600,
-            // The agent stops our runs after 900 ms of silence; a stop takes
-            // 50 ms and is repeated after 60 ms.
+            // The agent stops this entry's runs after 900 ms of silence; a stop takes 50 ms and
+            // is repeated after 60 ms.
             lost_ms: 1_500,
-            // At 4 KB a job some 40 MB.
+            // At 4 KB a job, about 40 MB.
             max_jobs: 10_000,
         }
     }
 }
 
-/// Parameters of a request kind in force.
+/// Parameters of a request kind, from the configuration in force.
 #[derive(Clone, Debug, PartialEq)]
 pub struct KindParameters {
-    /// Its name, for logs and counters.
+    /// Name of the kind, for logs and counters.
     pub name: String,
-    /// The pool of upstreams that runs it.
+    /// Pool of the upstreams that run the kind.
     pub pool: String,
-    /// Lower goes first.
+    /// Priority class; lower goes first.
     pub priority: u8,
-    /// Ends as failed after which the task's job fails.
+    /// Number of failed runs of a task after which its job fails.
     pub max_attempts: u32,
-    /// A job is in time within this factor of its longest chain of work ...
+    /// A job is on time within this factor of its longest chain of run times ...
     pub stretch: f64,
-    /// ... and this much, in milliseconds.
+    /// ... plus this time, in milliseconds.
     pub target_ms: u32,
 }
 
 /// One step of a job.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StepRequest {
-    /// Its tasks.
+    /// Number of tasks.
     pub count: u16,
-    /// What each takes.
+    /// Resources that each task takes.
     pub need: Resources,
-    /// Expected run time of each, in milliseconds.
+    /// Expected run time of each task, in milliseconds.
     pub run_ms: u32,
-    /// Steps that must be done before it, by number.
+    /// Numbers of the steps that must be done before this one.
     pub after: Vec<u8>,
-    /// A label that the upstream must have.
+    /// Label that the upstream must have.
     pub required_label: Option<String>,
-    /// A label of upstreams on which it runs faster.
+    /// Label of upstreams on which the tasks run faster.
     pub preferred_label: Option<String>,
-    /// Tasks of the step on one upstream, at most.
+    /// Maximum number of tasks of the step on one upstream.
     pub max_per_upstream: Option<u16>,
 }
 
-/// A job as it was handed in.
+/// A job as submitted.
 #[derive(Clone, Debug, PartialEq)]
 pub struct JobRequest {
-    /// The caller's id.
+    /// Id that the caller chose.
     pub id: CallerJobId,
     /// Parameters of its kind.
     pub kind: Arc<KindParameters>,
     /// The caller's text for the upstream.
     pub spec: String,
-    /// Its steps.
+    /// Steps of the job.
     pub steps: Vec<StepRequest>,
-    /// When it was handed in.
+    /// When the job was submitted.
     pub arrived_ms: u64,
     /// When its caller stops waiting.
     pub deadline_ms: u64,
 }
 
-/// Why a job ended without its result.
+/// Why a job ended without a result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum NoResultReason {
     /// It could not end before its caller stops waiting.
     TooLate,
-    /// Too much waits already.
+    /// Too many tasks are waiting.
     Overload,
-    /// Others that go before it find no room.
+    /// It was shed in favour of jobs that precede it.
     Shed,
     /// No upstream of its pool is usable.
     NoUpstream,
-    /// All upstreams of its pool are in data centres that are evacuated.
+    /// All upstreams of its pool are in evacuated data centres.
     Evacuated,
-    /// No upstream that this entry has a link to could hold one of its tasks; others may.
+    /// No upstream that this entry has a link to could hold one of its tasks; upstreams of other
+    /// entries may.
     NotHere,
     /// The entry is stopping.
     Stopping,
-    /// Upstreams crashed while one of its tasks ran there, again and again.
+    /// Upstreams crashed repeatedly while one of its tasks ran there.
     Crashing,
-    /// Its caller has left, or cancelled it.
+    /// Its caller has left, or has cancelled it.
     Cancelled,
-    /// A job of this id is being ended.
+    /// Another job with this id has not ended yet.
     Duplicate,
 }
 
 impl NoResultReason {
-    /// Label of counters and logs.
+    /// Label for counters and logs.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -147,73 +148,72 @@
 /// The answer to a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobAnswer {
-    /// All tasks ended well.
+    /// All tasks succeeded.
     Completed,
-    /// A task failed for the last time allowed, or can never run.
+    /// A task has used up its attempts, or can never run.
     Failed,
-    /// No task of it was started, and none will be.
+    /// No task of the job was started, and none will be.
     NotRun {
-        /// Why.
+        /// Why the job was not run.
         reason: NoResultReason,
-        /// When to come back, in milliseconds.
+        /// Retry delay for the caller, in milliseconds.
         retry_after_ms: u32,
     },
-    /// Some tasks were started; the job was given up.
+    /// Some tasks were started, or may have been; the job was given up.
     Unknown {
-        /// Why.
+        /// Why the job was given up.
         reason: NoResultReason,
     },
 }
 
-/// When a job is expected to end, as it comes. All times in milliseconds from then.
+/// When a job is expected to end, as of its arrival. All times are in milliseconds from then.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct JobForecast {
-    /// Until its last task ends, by what agents told; 0 where no upstream is usable.
+    /// Until the job's last task ends, by the agents' reports; 0 if no upstream is usable.
     pub end_in_ms: u64,
-    /// Of these, until that task starts.
+    /// Until that last task starts.
     pub wait_ms: u64,
-    /// How much later than that jobs of the kind ended lately; 0 where nothing waits.
+    /// How much later than forecast jobs of the kind have recently ended; 0 if nothing waits.
     pub late_ms: i64,
-    /// Until it must end to be in time.
+    /// Until the job must end to be on time.
     pub must_end_in_ms: u64,
-    /// Until its result is of no use any more.
-    pub of_use_in_ms: u64,
-    /// Share of jobs that go before it, in percent, refused or late lately.
+    /// Until its result becomes useless.
+    pub useful_for_ms: u64,
+    /// Recent share of refused or late jobs among those that precede it, in percent.
     pub strain_percent: f64,
-    /// Until the entry stops, where that is planned.
+    /// Until the entry stops, if a stop is planned.
     pub stops_in_ms: Option<u64>,
 }
 
 impl JobForecast {
-    /// Whether the job can be in time.
+    /// Whether the job can be on time.
     #[must_use]
     pub fn is_in_time(&self) -> bool {
         self.end_in_ms.saturating_add_signed(self.late_ms) <= self.must_end_in_ms
     }
 
-    /// Whether a job that cannot be in time is of use to its caller and keeps nobody
-    /// waiting: its last task starts at once.
+    /// Whether a late job is still useful to its caller and delays no other job: its last task
+    /// starts at once.
     ///
-    /// It answers the seconds after an outage, when jobs that waited for it find free
-    /// upstreams.
+    /// Covers the seconds after an outage, when jobs that waited for its end find free upstreams.
     #[must_use]
-    pub fn is_late_without_harm(&self) -> bool {
-        self.wait_ms == 0 && self.end_in_ms <= self.of_use_in_ms
+    pub fn is_late_but_useful(&self) -> bool {
+        self.wait_ms == 0 && self.end_in_ms <= self.useful_for_ms
     }
 }
 
-/// What the dispatch wants done.
+/// An action that the dispatch asks for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
     /// Send tasks to an agent.
     Place(AgentKey, StepPlacement),
-    /// Have an agent end a job.
+    /// Tell an agent to end a job.
     Stop(AgentKey, CallerJobId),
-    /// Have an agent hand tasks back that wait there.
+    /// Tell an agent to return waiting tasks.
     Withdraw(AgentKey, Vec<TaskKey>),
-    /// Have an agent go on with what waits of a job that has begun; nobody waits for
-    /// it after so many milliseconds.
-    Finish(AgentKey, CallerJobId, u32),
-    /// Answer whoever waits for the job.
+    /// Tell an agent that most of a job has started, so that it goes on with the job's waiting
+    /// tasks. The number is how long the caller still waits, in milliseconds.
+    JobMostlyStarted(AgentKey, CallerJobId, u32),
+    /// Answer the caller of the job.
     Answer(JobKey, JobAnswer),
 }
--- a/crates/decide/src/job/attempt.rs
+++ b/crates/decide/src/job/attempt.rs
@@ -5,46 +5,46 @@
     crate::view::UpstreamKey,
 };
 
-/// How long another attempt avoids an upstream where this one ended without a
-/// result, in milliseconds: the others may be busy for a moment, or gone.
+/// How long other attempts avoid an upstream where this one ended without a result, in
+/// milliseconds: the upstream may be busy for a moment, or gone.
 const AVOID_AFTER_END_MS: u64 = 100;
 
-/// Why an attempt has no end.
+/// What is unknown of an attempt whose end was lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Without {
-    /// Started; its end won't be known.
+pub(super) enum LostEnd {
+    /// It started; its end will not be known.
     EndUnknown,
-    /// It may have started; nobody can tell.
+    /// It may have started; this cannot be determined.
     StartUnknown,
 }
 
-/// Where an attempt stands.
+/// State of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum State {
     /// Waits at the entry.
     Waiting,
-    /// Sent, and not replied to.
+    /// Sent to an upstream, no reply yet.
     Open {
         upstream: UpstreamKey,
         since_ms: u64,
-        /// Sent more than once, so that an earlier copy may be on its way.
+        /// Sent more than once, so an earlier copy may still be in transit.
         resent: bool,
         revoked: bool,
-        /// No report can be had for now.
+        /// No report can be obtained for now.
         unreachable: bool,
     },
     /// Ended with a result.
     Finished,
-    /// Ended without one, definitely.
+    /// Ended with a definite failure.
     Failed,
-    /// Has no end.
-    Without(Without),
-    /// Proven not started, and never will be.
-    Never,
+    /// Its end is lost.
+    EndLost(LostEnd),
+    /// Proven not started, and will never start.
+    NeverStarts,
 }
 
 impl State {
-    /// Whether something is expected to decide it.
+    /// Whether an event is expected that decides the attempt.
     pub(super) fn is_awaited(self) -> bool {
         matches!(self, Self::Waiting | Self::Open { unreachable: false, .. })
     }
@@ -55,11 +55,11 @@
 pub(super) struct Attempt {
     pub(super) key: TaskAttempt,
     pub(super) state: State,
-    /// When it ended without a result.
+    /// When the attempt ended without a result.
     pub(super) ended_at_ms: u64,
     last_upstream: Option<UpstreamKey>,
     serial: u16,
-    /// Upstreams that refused it, each with the time until which to avoid it.
+    /// Upstreams that refused the attempt, each with the time until which to avoid it.
     refused_by: Vec<(UpstreamKey, u64)>,
 }
 
@@ -75,7 +75,7 @@
         }
     }
 
-    pub(super) fn open(&mut self, upstream: UpstreamKey, now_ms: u64) -> PlacementKey {
+    pub(super) fn start_placement(&mut self, upstream: UpstreamKey, now_ms: u64) -> PlacementKey {
         self.serial = self.serial.wrapping_add(1);
         self.last_upstream = Some(upstream);
         self.state = State::Open {
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Marks an open attempt as revoked; the upstream if it was not before.
+    /// Marks an open attempt as revoked. Returns its upstream if it was not revoked before.
     pub(super) fn revoke(&mut self) -> Option<UpstreamKey> {
         match &mut self.state {
             State::Open { upstream, revoked, .. } if !*revoked => {
@@ -127,8 +127,9 @@
         }
     }
 
-    /// Its upstream refused it. Returns how often that happened so far.
-    pub(super) fn refused(&mut self, avoid_until_ms: u64) -> u16 {
+    /// Records that the upstream refused the attempt. Returns the number of its placements so
+    /// far.
+    pub(super) fn record_refusal(&mut self, avoid_until_ms: u64) -> u16 {
         if let State::Open { upstream, .. } = self.state {
             self.refused_by.retain(|&(other, _)| other != upstream);
             self.refused_by.push((upstream, avoid_until_ms));
@@ -136,18 +137,18 @@
         self.serial
     }
 
-    /// The upstream that another attempt must avoid for this one.
-    pub(super) fn occupies(&self, now_ms: u64) -> Option<UpstreamKey> {
+    /// The upstream that other attempts must avoid because of this one.
+    pub(super) fn upstream_blocked_for_others(&self, now_ms: u64) -> Option<UpstreamKey> {
         let avoid = match self.state {
             State::Open { .. } => true,
-            State::Failed | State::Without(_) => now_ms < self.ended_at_ms + AVOID_AFTER_END_MS,
+            State::Failed | State::EndLost(_) => now_ms < self.ended_at_ms + AVOID_AFTER_END_MS,
             _ => false,
         };
         self.last_upstream.filter(|_| avoid)
     }
 
-    pub(super) fn avoided(&self, now_ms: u64) -> impl Iterator<Item = UpstreamKey> {
-        let held = self.refused_by.iter().filter(move |&&(_, until_ms)| now_ms < until_ms);
-        held.map(|&(upstream, _)| upstream)
+    pub(super) fn refusing_upstreams(&self, now_ms: u64) -> impl Iterator<Item = UpstreamKey> {
+        let still_avoided = self.refused_by.iter().filter(move |&&(_, until_ms)| now_ms < until_ms);
+        still_avoided.map(|&(upstream, _)| upstream)
     }
 }
--- a/crates/decide/src/job/verdict.rs
+++ b/crates/decide/src/job/outcome.rs
@@ -1,33 +1,33 @@
-//! What can be said of a job, and the answer that says it.
+//! Derives a job's outcome from the states of its tasks, and builds the answer.
 //!
-//! `complete` needs a result of each task, `not_run` the proof for each that
-//! it never starts, `failed` a definite failure, or a started task beside one
-//! that never starts. These exclude each other whoever collects them; a home
-//! and an entry that fences it cannot contradict. `unknown` claims nothing.
+//! `complete` needs a result of each task. `not_run` needs proof for each task that it never
+//! starts. `failed` needs a definite failure, or one task that started beside one that never
+//! starts. These exclude each other whoever collects the states, so a home entry and the entry
+//! that fences it cannot contradict each other. `unknown` asserts nothing.
 
 use {
-    super::{Failure, Job, Phase, State, Without},
+    super::{Failure, Job, LostEnd, Phase, State},
     std::mem,
     sycamorerail_wire::answer::{Answer, Outcome, Payload, Reason, Step},
 };
 
-/// How one task stands over its attempts.
+/// Status of one task over all its attempts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Standing {
+enum TaskStatus {
     Finished,
     Failed,
-    Never,
+    NeverStarts,
     /// May still be decided.
     Pending,
-    /// Cannot be decided here; `started` if some attempt surely started.
+    /// Cannot be decided here; `started` if an attempt is known to have started.
     Undecidable {
         started: bool,
     },
 }
 
-/// Tasks of a job by standing.
+/// Number of tasks of a job by status.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Tally {
+pub(super) struct TaskCounts {
     finished: u16,
     failed: u16,
     never: u16,
@@ -36,8 +36,8 @@
     undecidable: u16,
 }
 
-impl Tally {
-    /// Whether some task can't be decided by anything that is awaited.
+impl TaskCounts {
+    /// Whether no awaited event can decide some task.
     pub(super) fn has_undecidable(&self) -> bool {
         self.undecidable > 0
     }
@@ -45,66 +45,66 @@
 
 impl Job {
     /// The outcome that can be given now, if any.
-    pub(super) fn verdict(&self, tally: Tally, now_ms: u64) -> Option<Outcome> {
-        if tally.failed > 0 {
+    pub(super) fn decide_outcome(&self, counts: TaskCounts, now_ms: u64) -> Option<Outcome> {
+        if counts.failed > 0 {
             return Some(Outcome::Failed);
         }
-        if tally.finished == self.parameters.task_count {
+        if counts.finished == self.parameters.task_count {
             return Some(Outcome::Complete);
         }
         match self.phase {
             Phase::Running => None,
             Phase::Stopping { decide_by_ms, .. } => {
-                self.stopped_verdict(tally, now_ms >= decide_by_ms)
+                self.stopped_outcome(counts, now_ms >= decide_by_ms)
             }
-            Phase::Answered(Outcome::Unknown) => self.stopped_verdict(tally, true),
+            Phase::Answered(Outcome::Unknown) => self.stopped_outcome(counts, true),
             Phase::Answered(_) => None,
         }
     }
 
-    fn stopped_verdict(&self, tally: Tally, time_up: bool) -> Option<Outcome> {
-        if tally.never == self.parameters.task_count {
+    fn stopped_outcome(&self, counts: TaskCounts, time_up: bool) -> Option<Outcome> {
+        if counts.never == self.parameters.task_count {
             return Some(Outcome::NotRun);
         }
-        if tally.never > 0 && tally.finished + tally.started_without_end > 0 {
+        if counts.never > 0 && counts.finished + counts.started_without_end > 0 {
             return Some(Outcome::Failed);
         }
-        (time_up || tally.pending == 0).then_some(Outcome::Unknown)
+        (time_up || counts.pending == 0).then_some(Outcome::Unknown)
     }
 
-    pub(super) fn tally(&self) -> Tally {
-        let mut tally = Tally::default();
+    pub(super) fn task_counts(&self) -> TaskCounts {
+        let mut counts = TaskCounts::default();
         for index in 0..self.parameters.task_count {
-            match self.standing(index) {
-                Standing::Finished => tally.finished += 1,
-                Standing::Failed => tally.failed += 1,
-                Standing::Never => tally.never += 1,
-                Standing::Pending => tally.pending += 1,
-                Standing::Undecidable { started } => {
-                    tally.undecidable += 1;
-                    tally.started_without_end += u16::from(started);
+            match self.task_status(index) {
+                TaskStatus::Finished => counts.finished += 1,
+                TaskStatus::Failed => counts.failed += 1,
+                TaskStatus::NeverStarts => counts.never += 1,
+                TaskStatus::Pending => counts.pending += 1,
+                TaskStatus::Undecidable { started } => {
+                    counts.undecidable += 1;
+                    counts.started_without_end += u16::from(started);
                 }
             }
         }
-        tally
+        counts
     }
 
-    fn standing(&self, index: u16) -> Standing {
+    fn task_status(&self, index: u16) -> TaskStatus {
         if self.results[usize::from(index)].is_some() {
-            return Standing::Finished;
+            return TaskStatus::Finished;
         }
         let states = || self.states_of(index);
         if states().any(State::is_awaited) {
-            return Standing::Pending;
+            return TaskStatus::Pending;
         }
         let ended = states().any(|state| state == State::Failed);
-        let broken = states().any(|state| state == State::Without(Without::EndUnknown));
-        if states().all(|state| state == State::Never) {
-            Standing::Never
-        } else if states().all(|state| matches!(state, State::Never | State::Failed)) {
-            Standing::Failed
+        let broken = states().any(|state| state == State::EndLost(LostEnd::EndUnknown));
+        if states().all(|state| state == State::NeverStarts) {
+            TaskStatus::NeverStarts
+        } else if states().all(|state| matches!(state, State::NeverStarts | State::Failed)) {
+            TaskStatus::Failed
         } else {
-            Standing::Undecidable { started: ended || broken }
+            TaskStatus::Undecidable { started: ended || broken }
         }
     }
 
@@ -114,25 +114,26 @@
         self.attempts[first..last].iter().map(|attempt| attempt.state)
     }
 
-    /// Tasks that surely started.
+    /// Number of tasks that are known to have started.
     #[must_use]
     pub fn tasks_started(&self) -> u16 {
-        let tally = self.tally();
-        tally.finished + tally.failed + tally.started_without_end
+        let counts = self.task_counts();
+        counts.finished + counts.failed + counts.started_without_end
     }
 
-    /// Whether all of it waits at the entry: nothing has started, or was sent and may.
+    /// Whether all attempts wait at the entry: none has started, and none was sent and may start.
     #[must_use]
     pub fn is_entirely_waiting(&self) -> bool {
-        let waits = |state| matches!(state, State::Waiting | State::Never);
-        self.phase == Phase::Running && self.attempts.iter().all(|attempt| waits(attempt.state))
+        let is_unplaced = |state| matches!(state, State::Waiting | State::NeverStarts);
+        self.phase == Phase::Running
+            && self.attempts.iter().all(|attempt| is_unplaced(attempt.state))
     }
 
-    /// Whether it is proven that no task started or ever will.
+    /// Whether it is proven that no task has started or will start.
     #[must_use]
     pub fn no_start_possible(&self) -> bool {
         self.phase != Phase::Running
-            && self.attempts.iter().all(|attempt| attempt.state == State::Never)
+            && self.attempts.iter().all(|attempt| attempt.state == State::NeverStarts)
     }
 
     pub(super) fn answer(&mut self, outcome: Outcome) -> Answer {
@@ -170,16 +171,16 @@
             Some((reason, peer)) => (*reason, peer.clone()),
             None => (Reason::DeadlinePassed, None),
         };
-        let mut answer = Answer::without_results(outcome, reason, step_of(reason));
+        let mut answer = Answer::without_results(outcome, reason, step_for_reason(reason));
         answer.peer = peer.map(|peer| peer.to_string());
-        let comes_back = outcome != Outcome::Failed && reason != Reason::NeverPlaceable;
-        answer.retry_after_ms = comes_back.then_some(self.parameters.retry_after_ms.into());
+        let may_retry = outcome != Outcome::Failed && reason != Reason::NeverPlaceable;
+        answer.retry_after_ms = may_retry.then_some(self.parameters.retry_after_ms.into());
         answer
     }
 }
 
 /// The step at which a stop for this reason arises.
-fn step_of(reason: Reason) -> Step {
+fn step_for_reason(reason: Reason) -> Step {
     match reason {
         Reason::Cancelled | Reason::Revoked => Step::Revoke,
         Reason::Fenced | Reason::HomeLost => Step::Fence,
--- a/crates/decide/src/job/types.rs
+++ b/crates/decide/src/job/types.rs
@@ -1,4 +1,4 @@
-//! What a job may do, what happens to it, and what is to be done about it.
+//! Parameters, events and actions of a job.
 
 use {
     crate::view::UpstreamKey,
@@ -6,61 +6,61 @@
     sycamorerail_wire::answer::{Answer, Reason, TaskEnd, TaskRecord},
 };
 
-/// What a job may do.
+/// Limits of one job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct JobParameters {
-    /// Tasks of the job; one for a request.
+    /// Number of tasks; one for a request.
     pub task_count: u16,
-    /// Attempts at the one task, the first included; 1 unless the job is a
+    /// Maximum number of attempts at the one task, including the first; 1 unless the job is a
     /// request of a repeatable kind.
     pub max_attempts: u8,
-    /// When it must be answered, in monotonic milliseconds.
+    /// When the job must be answered, in monotonic milliseconds.
     pub deadline_at_ms: u64,
-    /// An attempt slower than this is joined by a second one.
+    /// Run time after which a second attempt is started beside the first.
     pub hedge_after_ms: Option<u32>,
-    /// Longest wait for reports of revoked tasks once no answer can be whole.
+    /// Maximum wait for reports of revoked tasks once the job can no longer complete.
     pub report_wait_ms: u32,
-    /// What the caller is told where coming back makes sense.
+    /// Retry delay that the caller is given where a retry makes sense.
     pub retry_after_ms: u32,
 }
 
 /// One attempt at one task of the job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct TaskAttempt {
-    /// Position in the job.
+    /// Index of the task in the job.
     pub index: u16,
     /// Number of the attempt.
     pub attempt: u8,
 }
 
-/// One sending of an attempt to an upstream.
+/// One placement of an attempt at an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct PlacementKey {
-    /// What was sent.
+    /// The attempt that was sent.
     pub task: TaskAttempt,
-    /// Number of the placement of this attempt.
+    /// Number of this placement of the attempt.
     pub serial: u16,
 }
 
-/// What an agent replied to a placement.
+/// An agent's reply to a placement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// Started there and ended.
+    /// The task started and ended.
     Ended(TaskEnd),
-    /// Started there; its end is not known and won't be.
+    /// The task started; its end is unknown and will stay so.
     Broken(Reason),
-    /// Not started by this placement.
+    /// This placement did not start the task.
     NotStarted {
-        /// Why.
+        /// Why the task was not started.
         reason: Reason,
-        /// No later placement of it starts there either.
+        /// Whether no later placement of the task can start there either.
         never: bool,
-        /// When a slot is expected, in milliseconds.
+        /// When a slot is expected to be free, in milliseconds.
         retry_after_ms: u32,
     },
 }
 
-/// What happened.
+/// An event of a job.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
     /// An agent replied to a placement.
@@ -72,96 +72,96 @@
         /// The reply.
         reply: Reply,
     },
-    /// The connection broke with the placement open; the same placement is
-    /// sent again when the same run of the agent is back.
+    /// The connection broke while the placement was open. The same placement is sent again when
+    /// the same incarnation of the agent is back.
     ConnectionBroke {
         /// The placement.
         placement: PlacementKey,
     },
-    /// The run of the agent could not be reached for long with the placement
-    /// open. It may come back and tell of it.
+    /// The agent has been unreachable for long while the placement was open. It may come back and
+    /// report.
     AgentUnreachable {
         /// The placement.
         placement: PlacementKey,
         /// Name of the agent.
         peer: Arc<str>,
     },
-    /// The run of the agent is gone for good with the placement open.
+    /// The incarnation of the agent ended for good while the placement was open.
     AgentLost {
         /// The placement.
         placement: PlacementKey,
         /// Name of the agent.
         peer: Arc<str>,
     },
-    /// An agent told what it knows of a revoked attempt.
+    /// An agent reported what it knows of a revoked attempt.
     Reported {
-        /// Where it was revoked.
+        /// Where the attempt was revoked.
         upstream: UpstreamKey,
         /// The attempt.
         task: TaskAttempt,
         /// Name of the agent.
         peer: Arc<str>,
-        /// What is known.
+        /// The agent's record of the attempt.
         record: TaskRecord,
     },
-    /// No report of a revoked attempt can be had.
+    /// No report of a revoked attempt can be obtained.
     RevokeFailed {
-        /// Where it was to be revoked.
+        /// Where the attempt was to be revoked.
         upstream: UpstreamKey,
         /// The attempt.
         task: TaskAttempt,
     },
-    /// The caller cancels.
+    /// The caller cancels the job.
     Cancel,
-    /// This run of the home entry is fenced: it must place nothing more.
+    /// This incarnation of the home entry is fenced: it must not place any more.
     Fenced,
-    /// The job is given up on, for a reason found when placing it.
+    /// The job is given up for a reason found while placing it.
     GiveUp(Reason),
     /// Time has passed.
     Tick,
 }
 
-/// What is to be done.
+/// An action that the job asks for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Find an upstream for a waiting attempt, then call [`Job::open_placement`].
     Enqueue {
         /// The attempt.
         task: TaskAttempt,
-        /// Why it is not the first time, if so.
+        /// Why the attempt is enqueued again; `None` if it is enqueued for the first time.
         cause: Option<Reason>,
-        /// Pause before it is looked for, in milliseconds.
+        /// Delay before an upstream is sought, in milliseconds.
         after_ms: u32,
     },
-    /// Revoke these at the upstream.
+    /// Revoke attempts at an upstream.
     Revoke {
         /// Where they were placed.
         upstream: UpstreamKey,
-        /// What to revoke.
+        /// The attempts to revoke.
         tasks: Vec<TaskAttempt>,
     },
-    /// Answer the caller. Given once, and once more where an `unknown` answer
-    /// is made up for by late knowledge.
+    /// Answer the caller. This happens once, and again if a later report decides a job that was
+    /// answered with `unknown`.
     Answer(Answer),
 }
 
-/// What is asked of whoever paces repetitions.
+/// A repetition that the pacer is asked about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryKind {
     /// An attempt that was proven not started is placed elsewhere.
     RefusedPlacement {
-        /// How often that happened to this attempt, this time included.
+        /// Number of placements of this attempt that were refused, including this one.
         refusals: u16,
     },
     /// A further attempt at a repeatable request.
     FurtherAttempt {
-        /// Why.
+        /// Why a further attempt is wanted.
         cause: Reason,
-        /// Attempts made so far.
+        /// Number of attempts made so far.
         attempts_made: u8,
     },
 }
 
-/// The pause before a repetition in milliseconds; `None` to make no further
-/// attempt. A refused attempt is placed again in any case.
+/// Returns the delay before a repetition in milliseconds, or `None` to deny a further attempt. A
+/// refused attempt is placed again in any case.
 pub type RetryPacer<'a> = dyn FnMut(RetryKind) -> Option<u32> + 'a;
--- a/crates/decide/tests/cold.rs
+++ b/crates/decide/tests/cold.rs
@@ -1,4 +1,4 @@
-//! Upstreams that say how long they are slow after their start.
+//! Upstreams that announce how long they are slow after their start.
 
 use {
     sycamorerail_decide::ledger::{Ledger, LedgerLimits},
@@ -42,7 +42,7 @@
     assert_eq!(ledger.cold_until_ms(100), Some(5_100));
 }
 
-/// The next life may announce itself before it answers.
+/// The next instance may announce itself before it answers the agent.
 #[test]
 fn what_a_life_said_counts_for_that_life() {
     let mut ledger = ledger();
--- a/crates/decide/tests/crashes.rs
+++ b/crates/decide/tests/crashes.rs
@@ -1,5 +1,5 @@
-//! Upstreams that crash under tasks: told apart from other losses, and no task is started
-//! again and again.
+//! Upstreams that crash under tasks: crashes are told apart from other losses, and no task is
+//! started again and again.
 
 use {
     proptest::{collection::vec, prelude::*},
@@ -27,13 +27,13 @@
 const CAPACITY: Resources = Resources { cpu_milli: 32_000, memory_mb: 1_000, accelerators: 0 };
 const NEED: Resources = Resources { cpu_milli: 1_000, memory_mb: 10, accelerators: 0 };
 const TASKS: u16 = 4;
-/// The job that tests are about.
+/// The job under test.
 const JOB: CallerJobId = CallerJobId(1);
-/// Crashes of upstreams under one task, after which it is never started again.
+/// Crashes of upstreams under one task after which it is never started again.
 const MOST_CRASHES: u32 = 3;
-/// Upstreams that are lost in a second where they are lost by dozens.
+/// Upstreams lost within a second in a mass loss.
 const LOST_IN_A_SECOND: usize = 24;
-/// A job is answered within this of its last crash, in milliseconds.
+/// Time within which a job is answered after its last crash, in milliseconds.
 const JUDGED_MS: u64 = 300;
 
 fn life(id: &str, leaving: bool) -> UpstreamInstance {
@@ -45,7 +45,7 @@
     TaskKey { job: JOB, step: 0, index }
 }
 
-/// A ledger that runs a task of the entry.
+/// Creates a ledger that runs a task of the entry.
 fn running() -> Ledger {
     let mut ledger = Ledger::new(LedgerLimits::default());
     ledger.set_upstream(life("a", false));
@@ -108,14 +108,14 @@
     assert_eq!(last_event(&ledger), RunEvent::Lost);
 }
 
-/// An entry that so many agents have connected to.
+/// Creates an entry with this many connected agents.
 fn entry_with(agents: usize, now_ms: u64) -> (Dispatch, Vec<AgentKey>) {
     let mut dispatch = Dispatch::new(DispatchLimits::default(), ENTRY);
     let agents = (0..agents).map(|number| {
         let name = format!("agent-{number}");
         let agent = dispatch.agent_connected(&name, Incarnation(number as u64), None, now_ms);
         dispatch.agent_ready(agent, now_ms);
-        dispatch.set_life(agent, life(&name, false));
+        dispatch.set_instance(agent, life(&name, false));
         agent
     });
     let agents = agents.collect();
@@ -142,7 +142,7 @@
     }
 }
 
-/// An entry with jobs and idle agents, and what its agents have.
+/// An entry with jobs and idle agents, and the state of those agents.
 struct Site {
     dispatch: Dispatch,
     now_ms: u64,
@@ -180,7 +180,7 @@
         site
     }
 
-    /// The same with the job that the test is about.
+    /// Creates the same with the job under test submitted.
     fn with_job() -> Self {
         let mut site = Self::new(5);
         site.submit(JOB, TASKS);
@@ -220,8 +220,7 @@
         self.act();
     }
 
-    /// Ends the life of an agent's upstream without a word; whether another one is there
-    /// at once.
+    /// Crashes an agent's upstream. `comes_back`: whether a new instance is there at once.
     fn crash(&mut self, agent: AgentKey, comes_back: bool) {
         let here = self.placed.iter().filter(|(_, (at, _))| *at == agent);
         let mut here: Vec<_> = here.map(|(&task, &(_, run))| (task, run)).collect();
@@ -240,7 +239,7 @@
         self.act();
     }
 
-    /// All that was placed begins.
+    /// Starts all placed tasks.
     fn start_all(&mut self) {
         let begun = &self.begun;
         let is_new =
@@ -254,7 +253,7 @@
         }
     }
 
-    /// Lets time pass after which all agents are heard.
+    /// Advances the time; all agents report before the tick.
     fn pass(&mut self, ms: u64) {
         self.now_ms += ms;
         for agent in self.agents.clone() {
@@ -265,8 +264,8 @@
         self.act();
     }
 
-    /// The upstream of the task's agent crashes while nothing else of interest runs there,
-    /// and the agent tells all entries before it reports.
+    /// Crashes the upstream of the task's agent while nothing else of interest runs there. The
+    /// agent sends the crash to all entries before it reports the run.
     fn crash_told(&mut self, task: TaskKey) {
         let Some(&(agent, _)) = self.placed.get(&task) else { return };
         let known = self.at_agents.entry((agent, task)).or_default();
@@ -281,7 +280,7 @@
         Incarnation(self.agents.iter().position(|known| *known == agent).unwrap() as u64)
     }
 
-    /// The entry dies, and another one takes its place that agents tell what they know.
+    /// Replaces the entry by a new one, to which the agents send the crashes they know.
     fn replace_entry(&mut self) {
         let (dispatch, agents) = entry_with(self.agents.len(), self.now_ms);
         assert_eq!(agents, self.agents);
@@ -375,8 +374,8 @@
     assert!(site.placed.is_empty());
 }
 
-/// The clock of an entry that has just started counts from its start: a crash before that
-/// seemed to be of now, and its job was not called failed.
+/// Guards against crashes before an entry's start being dated as of now, so that their job was
+/// not answered as failed: the entry's clock counts from its start.
 #[test]
 fn a_crash_before_the_entry_started_keeps_its_age() {
     let (mut dispatch, _) = entry_with(3, 10);
@@ -388,7 +387,7 @@
     assert_eq!(dispatch.submit(request(JOB, 1, 10), 10), Err(JobAnswer::Failed));
 }
 
-/// A caller's copy runs here while the first one crashes upstreams for another entry.
+/// A copy of the job runs here while the first one crashes upstreams for another entry.
 #[test]
 fn a_copy_is_given_up_by_what_agents_tell() {
     let mut site = Site::with_job();
@@ -402,7 +401,7 @@
     assert_eq!(site.answer(), Some(JobAnswer::Failed));
 }
 
-/// An entry that has just started was handed a job before all agents had told it.
+/// An entry that has just started may receive a job before all agents have sent it their crashes.
 #[test]
 fn one_agent_is_enough_to_tell_of_a_suspect() {
     let mut first = entry_with(3, 100).0;
@@ -459,7 +458,7 @@
     assert_eq!(site.answer(), Some(JobAnswer::Completed));
 }
 
-/// What ran on a lost upstream is placed at once; only what met two crashes is kept apart.
+/// Tasks of a lost upstream are placed again at once; only tasks with two crashes run apart.
 #[test]
 fn one_crash_keeps_nothing_waiting_and_two_keep_tasks_apart() {
     let mut site = Site::with_job();
@@ -479,8 +478,8 @@
 }
 
 proptest! {
-    /// However upstreams crash, no task is started after three crashes, and a job is called
-    /// failed only where three crashed under one of its tasks.
+    /// However upstreams crash, no task is started after three crashes, and a job fails only if
+    /// three upstreams crashed under one of its tasks.
     #[test]
     fn crashes_alone_fail_a_job(events in vec((0..TASKS, 0..4_u8, 0..60_u64), 0..80)) {
         let mut site = Site::with_job();
@@ -499,8 +498,8 @@
         }
     }
 
-    /// However often entries die and the job is handed in again, no task is started after
-    /// three crashes, and one that crashed three upstreams fails its job.
+    /// However often entries die and the job is submitted again, no task is started after three
+    /// crashes, and a task that crashed three upstreams fails its job.
     #[test]
     fn crashes_count_over_the_deaths_of_entries(
         deaths in vec((any::<bool>(), 0..300_u64), 1..12),
@@ -527,8 +526,8 @@
         }
     }
 
-    /// Jobs beside one that crashes its upstreams run on, however many there are and
-    /// whenever the crashes come.
+    /// Jobs beside one that crashes its upstreams continue, however many there are and whenever
+    /// the crashes come.
     #[test]
     fn only_the_job_that_crashes_upstreams_fails(
         innocent in 1..40_u64,
@@ -556,7 +555,7 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(48))]
 
-    /// Upstreams that are lost by dozens in a second fail no job, whichever they hit.
+    /// A loss of dozens of upstreams within a second fails no job, whichever upstreams are hit.
     #[test]
     fn a_loss_of_dozens_of_upstreams_fails_no_job(
         order in Just((0..30_usize).collect::<Vec<_>>()).prop_shuffle(),
--- a/crates/decide/tests/dispatch.rs
+++ b/crates/decide/tests/dispatch.rs
@@ -1,5 +1,5 @@
-//! Dispatch of jobs at an entry: placement of whole jobs, attempts, refusals,
-//! reconciliation with agents.
+//! Dispatch of jobs at an entry: placement of whole jobs, attempts, refusals, and reconciliation
+//! with agents that reconnect.
 
 use {
     std::sync::Arc,
@@ -81,7 +81,8 @@
 }
 
 impl Site {
-    /// An entry at 100 ms with agents whose upstreams have so much taken.
+    /// Creates an entry at 100 ms, with one agent for each given amount of CPU that its upstream
+    /// has taken.
     fn new(taken_milli: &[u32]) -> (Self, Vec<AgentKey>) {
         let dispatch = Dispatch::new(DispatchLimits::default(), Incarnation(1));
         let mut site = Self { dispatch, now_ms: 100, reports: 0 };
@@ -97,7 +98,7 @@
         let dispatch = &mut self.dispatch;
         let agent = dispatch.agent_connected(name, Incarnation(run), None, self.now_ms);
         dispatch.agent_ready(agent, self.now_ms);
-        dispatch.set_life(agent, life(&[]));
+        dispatch.set_instance(agent, life(&[]));
         dispatch.handle_report(agent, &[], load, 0, self.now_ms);
         agent
     }
@@ -116,7 +117,7 @@
         self.dispatch.handle_report(agent, &[report], load(0), 0, self.now_ms);
     }
 
-    /// Time passes, and agents have heard and are heard before the tick.
+    /// Advances the time; messages pass in both directions with these agents before the tick.
     fn tick_at(&mut self, now_ms: u64, agents: &[AgentKey]) {
         self.now_ms = now_ms;
         for &agent in agents {
@@ -174,7 +175,7 @@
     site.submit(job(2, vec![step(1)]));
     let (second, _) = site.placements().remove(0);
     assert_ne!(first, second);
-    // Heard, and its load shows nothing taken: the task has ended.
+    // The agent has received the placement, and its load shows nothing taken: the task has ended.
     site.dispatch.handle_report(first, &[], load(0), 1, site.now_ms);
     site.dispatch.handle_report(second, &[], load(3_000), 0, site.now_ms);
     site.submit(job(3, vec![step(1)]));
@@ -270,8 +271,8 @@
     assert!((2_500..3_500).contains(&retry_after_ms), "{retry_after_ms}");
 }
 
-/// Twice the load that two upstreams can run, of jobs in time within 210 ms. What
-/// cannot be in time is refused: the upstreams would be late for all.
+/// Offers twice the load that two upstreams can run, of jobs that are on time within 210 ms. Jobs
+/// that cannot be on time are refused; otherwise all jobs would be late.
 #[test]
 fn under_twice_the_load_the_rest_is_refused_at_once() {
     let (mut site, agents) = Site::new(&[0, 0]);
@@ -287,8 +288,8 @@
         }
         taken += u32::from(site.dispatch.submit(job(number.into(), vec![step(2)]), 100).is_ok());
     }
-    // An upstream runs 300 core-milliseconds a task, ten cores: 33 tasks a second.
-    // Beyond 3 waiting ones a task would end after 210 ms.
+    // A task takes 300 core-milliseconds of an upstream with ten cores: 33 tasks a second. With
+    // more than 3 waiting tasks, a further one would end after 210 ms.
     assert!((12..=16).contains(&taken), "{taken}");
     site.now_ms = 100 + 315;
     site.dispatch.tick(site.now_ms);
@@ -305,13 +306,13 @@
     assert_eq!(site.refuse(job(1, vec![huge])), JobAnswer::Failed);
 }
 
-/// Without any upstream a job takes nobody's room: it waits as long as its result is of
-/// use, and not a moment longer.
+/// A job without any upstream takes room from nobody: it waits exactly as long as its result is
+/// useful.
 #[test]
 fn a_job_waits_for_an_upstream_as_long_as_its_result_is_of_use() {
     let (mut site, _) = Site::new(&[]);
     site.submit(job(1, vec![step(1)]));
-    // In time within 1.5 x 100 + 60 ms, of use within three times as much.
+    // On time within 1.5 x 100 + 60 ms, useful within three times as much.
     site.now_ms = 100 + 630 - 100;
     site.dispatch.tick(site.now_ms);
     assert!(site.answers().is_empty());
@@ -335,7 +336,7 @@
     assert!(stopped.iter().any(is_stop), "{stopped:?}");
 }
 
-/// An entry that was started after an outage takes what waited for it, late or not, as
+/// An entry that starts after an outage accepts the jobs that waited for it, even late ones, as
 /// long as upstreams are free.
 #[test]
 fn a_job_that_was_held_up_runs_late_on_free_upstreams() {
@@ -348,8 +349,8 @@
     assert_eq!(site.answers(), [JobAnswer::Completed]);
 }
 
-/// Agents connect before their upstreams are announced: for the first one that is usable
-/// all that waited would seem too much, and be refused.
+/// Agents connect before their upstreams are announced. Judged by the first usable upstream
+/// alone, all waiting jobs would seem too much and be refused.
 #[test]
 fn nothing_is_refused_for_load_while_most_upstreams_are_about_to_come() {
     let (mut site, agents) = Site::new(&[0]);
@@ -361,7 +362,7 @@
         site.connect(&format!("coming-{number}"), 1, unusable);
     });
     site.submit(job(1, vec![step(2)]));
-    // Those that are not usable two seconds later are not counted on.
+    // Agents that are not usable after two seconds are no longer expected.
     site.now_ms += 2_000;
     site.connect("agent-0", 1, full);
     let late = JobRequest { arrived_ms: site.now_ms, deadline_ms: 9_000, ..job(9, vec![step(2)]) };
@@ -443,8 +444,8 @@
 #[test]
 fn labels_and_counts_by_upstream_bind() {
     let (mut site, agents) = Site::new(&[0, 0, 0]);
-    site.dispatch.set_life(agents[0], life(&["b"]));
-    site.dispatch.set_life(agents[1], life(&["b"]));
+    site.dispatch.set_instance(agents[0], life(&["b"]));
+    site.dispatch.set_instance(agents[1], life(&["b"]));
     let bound =
         StepRequest { required_label: Some("b".to_owned()), max_per_upstream: Some(2), ..step(5) };
     site.submit(job(1, vec![bound]));
@@ -467,7 +468,7 @@
     assert_eq!(site.placements()[0].0, agents[2]);
 }
 
-/// An upstream that was slow after its start got as much as the others.
+/// A cold upstream must not get as many tasks as the others.
 #[test]
 fn a_cold_upstream_gets_what_others_would_keep_waiting() {
     let (mut site, agents) = Site::new(&[0, 6_000]);
@@ -495,7 +496,7 @@
     assert!(placed_at(&|site, cold, _| site.dispatch.set_cold(cold, 0, site.now_ms)));
 }
 
-/// Where all upstreams are cold, as after a loss of power, jobs are taken as ever.
+/// If all upstreams are cold, for example after a power failure, jobs are accepted as usual.
 #[test]
 fn cold_upstreams_refuse_nobody() {
     let (mut site, agents) = Site::new(&[0, 0]);
@@ -505,7 +506,7 @@
     assert_eq!(placed, 6);
 }
 
-/// A job of which a task began is finished as long as its result is of use.
+/// A job with a started task is finished as long as its result is useful.
 #[test]
 fn a_job_that_began_is_finished_late() {
     let (mut site, agents) = Site::new(&[0]);
@@ -520,7 +521,7 @@
     assert_eq!((placement.tasks[0].index, placement.give_up_in_ms), (1, 100));
 }
 
-/// The shortest wait is told by what is as urgent, not by all that waits.
+/// The wait is estimated from tasks that are at least as urgent, not from all waiting tasks.
 #[test]
 fn an_urgent_task_goes_where_only_less_urgent_ones_wait() {
     let (mut site, agents) = Site::new(&[9_000, 9_000]);
@@ -532,8 +533,8 @@
     assert_eq!(site.placements()[0].0, agents[1]);
 }
 
-/// Run times are off by 40 %: tasks queue at one upstream while another has room
-/// again. Half of that room is used for what waits elsewhere.
+/// Run times are off by 40 %, so tasks queue at one upstream while another has room again. Half
+/// of that room is used for tasks that wait elsewhere.
 #[test]
 fn tasks_that_wait_are_asked_back_for_room_elsewhere() {
     let (mut site, agents) = Site::new(&[0, 9_000]);
@@ -563,8 +564,8 @@
     assert_eq!(site.placements()[0].0, agents[1]);
 }
 
-/// Several entries claim the same room. A task that was asked back and waits again
-/// is left where it is for twice as long each time.
+/// Several entries claim the same room. A task that was recalled and waits again is left in place
+/// for twice as long each time.
 #[test]
 fn a_task_that_is_asked_back_again_and_again_comes_to_rest() {
     let (mut site, agents) = Site::new(&[0, 0]);
@@ -591,7 +592,8 @@
     assert_eq!(recalls, 4, "after 15, 45, 105 and 225 ms of 400");
 }
 
-/// Jobs that can never be done fail on every upstream. Others are not refused for it.
+/// Jobs that can never succeed fail on every upstream. Other jobs must not be refused because of
+/// them.
 #[test]
 fn failures_everywhere_refuse_nobody() {
     let (mut site, agents) = Site::new(&[0, 0]);
@@ -604,8 +606,8 @@
     assert_eq!(placed, 4);
 }
 
-/// Two failures of eight runs come from the jobs as well as from the upstream. They
-/// are no reason to queue elsewhere.
+/// Two failures among eight runs may be due to the jobs as well as to the upstream. They are no
+/// reason to queue at another upstream.
 #[test]
 fn a_few_failures_do_not_outweigh_a_queue() {
     let (mut site, agents) = Site::new(&[0, 9_000]);
@@ -617,8 +619,8 @@
     assert_eq!(site.placements()[0].0, agents[0]);
 }
 
-/// A burst of short jobs, each of several tasks: what all of them wait for is the
-/// last one, so that one free place says little.
+/// In a burst of short jobs with several tasks each, a job waits for its last task, so one free
+/// place is not enough.
 #[test]
 fn a_job_is_refused_when_its_last_task_cannot_be_in_time() {
     let (mut site, agents) = Site::new(&[0]);
@@ -635,14 +637,14 @@
         "{answer:?}"
     );
     site.submit(job(2, vec![step(1)]));
-    // 900 before it, a third of 450 until its room is there, over ten cores.
+    // 900 of waiting work plus a third of 450 until there is room, divided by ten cores.
     let forecast = site.dispatch.last_forecast();
     assert_eq!((forecast.wait_ms, forecast.end_in_ms, forecast.late_ms), (106, 206, 0));
 }
 
-/// Jobs of a burst end later than forecast, as more urgent ones overtake them: after a
-/// few the forecast takes that in. It is forgotten within seconds, and where there is
-/// free room nothing is refused for it.
+/// Jobs of a burst end later than forecast because more urgent ones overtake them. The forecast
+/// learns this after a few jobs and forgets it within seconds. No job is refused for it while
+/// there is free room.
 #[test]
 fn forecasts_learn_how_late_jobs_end() {
     let (mut site, agents) = Site::new(&[0]);
@@ -654,7 +656,7 @@
         let request = JobRequest { arrived_ms, deadline_ms, ..job(id, vec![step(1)]) };
         site.dispatch.submit(request, site.now_ms)
     };
-    // Forecast for 161 ms, to be in time within 210.
+    // Forecast for 161 ms, on time within 210 ms.
     let mut taken = 0;
     let refused = loop {
         match ask(&mut site, taken, busy) {
@@ -674,8 +676,8 @@
     assert!(ask(&mut site, 101, busy).is_ok());
 }
 
-/// At 1.8 times the usual load one short job in ten was given up with three quarters
-/// of its tasks done.
+/// Guards against giving up jobs with most of their tasks done: at 1.8 times the usual load this
+/// happened to one short job in ten.
 #[test]
 fn the_last_tasks_of_a_job_that_has_begun_are_finished() {
     let (mut site, agents) = Site::new(&[0]);
@@ -685,21 +687,24 @@
         site.now_ms += 20;
         site.dispatch.tick(site.now_ms);
         let commands = site.dispatch.take_commands().into_iter();
-        commands.filter(|command| matches!(command, Command::Finish(..))).collect::<Vec<_>>()
+        commands
+            .filter(|command| matches!(command, Command::JobMostlyStarted(..)))
+            .collect::<Vec<_>>()
     };
     site.tell(agents[0], task(1, 0, 0), 1, RunEvent::Started);
     assert_eq!(finish(&mut site), []);
     site.tell(agents[0], task(1, 0, 1), 1, RunEvent::Started);
-    // It is given up 630 ms after it came, by 100 + 630.
-    let told = Command::Finish(agents[0], CallerJobId(1), 630 - 40);
+    // The job is given up 630 ms after it arrived, at 100 + 630 ms.
+    let told = Command::JobMostlyStarted(agents[0], CallerJobId(1), 630 - 40);
     assert_eq!(finish(&mut site), [told]);
     assert_eq!(finish(&mut site), [], "once");
-    // What comes back is placed as the last of its job.
+    // A returned task is placed as one of the last of its job.
     site.tell(agents[0], task(1, 0, 2), 1, RunEvent::NotStarted(NotStarted::Refused));
     assert!(site.placements()[0].1.job_mostly_started);
 }
 
-/// A copy of a job that ran for another entry was placed at its agent every millisecond.
+/// Guards against a copy of a job that runs for another entry being placed at its agent every
+/// millisecond.
 #[test]
 fn a_task_that_is_refused_again_and_again_rests() {
     let (mut site, agents) = Site::new(&[0]);
@@ -716,7 +721,8 @@
     assert_eq!(placed, [100, 101, 151, 201, 251, 301]);
 }
 
-/// A stop was lost with its connection: the task ran on beside a copy of its job.
+/// Guards against a task that keeps running beside a copy of its job, because its stop was lost
+/// with the connection.
 #[test]
 fn what_is_over_is_stopped_again_on_a_new_connection() {
     let (mut site, agents) = Site::new(&[0]);
@@ -743,12 +749,12 @@
     let (mut site, _) = Site::new(&[0]);
     site.submit(job(1, vec![step(1)]));
     assert_eq!(site.dispatch.last_forecast().end_in_ms, 100);
-    // One of the same id is refused before its forecast.
+    // A job with the same id is refused before its forecast.
     site.refuse(job(1, vec![step(1)]));
     assert_eq!(site.dispatch.last_forecast().end_in_ms, 0);
 }
 
-/// An entry that stops refuses only what may not end before it does.
+/// An entry that stops refuses only jobs that may not end before it does.
 #[test]
 fn an_entry_that_stops_takes_what_surely_ends_by_then() {
     let (mut site, _) = Site::new(&[0, 0]);
@@ -763,19 +769,20 @@
     );
 }
 
-/// One job after the other takes so many times its forecast of 100 ms.
+/// Runs jobs one after the other, each for this many times its forecast of 100 ms.
 fn jobs_take(site: &mut Site, agent: AgentKey, jobs: std::ops::Range<u64>, times: u64) {
     for id in jobs {
         site.tick_at(site.now_ms, &[agent]);
         let (arrived_ms, deadline_ms) = (site.now_ms, site.now_ms + 60_000);
         site.submit(JobRequest { arrived_ms, deadline_ms, ..job(id, vec![step(1)]) });
         site.now_ms += 100 * times;
-        // The run itself is as long as expected.
+        // The run itself takes as long as expected.
         site.tell(agent, task(id, 0, 0), 1, done());
     }
 }
 
-/// Where one job in ten took twice its forecast, jobs were taken that could not end in time.
+/// Guards against accepting jobs that cannot end before the stop when one job in ten takes twice
+/// its forecast.
 #[test]
 fn an_entry_that_stops_knows_how_long_jobs_take() {
     let (mut site, agents) = Site::new(&[0]);
@@ -792,13 +799,13 @@
         "{refused:?}"
     );
     assert!(ask(&mut site, 1_001, 400).is_ok());
-    // Stops are not planned any more, and jobs are as quick as expected.
+    // No stop is planned any more, and jobs are as quick as expected.
     site.dispatch.plan_stop(u64::MAX);
     jobs_take(&mut site, agents[0], 2_000..2_400, 1);
     assert!(ask(&mut site, 3_000, 160).is_ok());
 }
 
-/// Only the first step is placed, and forecast, as a job comes.
+/// Only the first step is placed and forecast when a job arrives.
 #[test]
 fn an_entry_that_stops_counts_the_steps_to_come() {
     let (mut site, _) = Site::new(&[0, 0]);
@@ -812,7 +819,7 @@
     );
 }
 
-/// Without an upstream the forecast is 0, which is not how long the job takes.
+/// Without an upstream the forecast is 0, which is not the duration of the job.
 #[test]
 fn an_entry_that_stops_without_upstreams_counts_run_times() {
     let (mut site, _) = Site::new(&[]);
@@ -824,7 +831,7 @@
     );
 }
 
-/// A job that takes longer than was expected of it must not be left without an answer.
+/// A job that runs longer than expected must still be answered.
 #[test]
 fn an_entry_that_stops_answers_what_runs_longer_than_expected() {
     let (mut site, agents) = Site::new(&[0]);
@@ -842,7 +849,7 @@
     assert_eq!(site.answers(), [JobAnswer::Unknown { reason: NoResultReason::Stopping }]);
 }
 
-/// An agent that cannot be reached must not hold an answer back beyond the stop.
+/// An unreachable agent must not delay an answer beyond the stop.
 #[test]
 fn an_entry_that_stops_answers_without_the_word_of_an_agent() {
     let (mut site, agents) = Site::new(&[0]);
@@ -852,12 +859,12 @@
     site.tick_at(stops_ms, &agents);
     assert_eq!(site.answers(), []);
     site.tick_at(stops_ms + STOP_ANSWER_MS, &agents);
-    // Whether the task began is not known.
+    // It is unknown whether the task started.
     assert_eq!(site.answers(), [JobAnswer::Unknown { reason: NoResultReason::Stopping }]);
     assert_eq!(site.dispatch.job_count(), 0);
 }
 
-/// Of what only waits nothing has run, and its caller is told so.
+/// Jobs that only wait have not run, and their callers are told so.
 #[test]
 fn an_entry_that_stops_refuses_what_has_not_begun() {
     let (mut site, agents) = Site::new(&[0]);
@@ -873,7 +880,7 @@
     );
 }
 
-/// Its last task runs on an upstream that is far too slow; nobody else waits for that room.
+/// The last task runs on an upstream that is far too slow, and no other job waits for its room.
 #[test]
 fn a_job_whose_tasks_all_run_is_finished_for_as_long_as_its_caller_waits() {
     let (mut site, agents) = Site::new(&[0, 0]);
@@ -883,7 +890,7 @@
             site.tell(agent, task(1, 0, start.index), 1, RunEvent::Started);
         }
     }
-    // Three times the span of 210 ms has passed long ago; the caller waits until 2,100 ms.
+    // Three times the objective span of 210 ms has long passed; the caller waits until 2,100 ms.
     site.tick_at(2_000, &agents);
     assert_eq!(site.answers(), []);
     site.tick_at(2_100, &agents);
@@ -891,7 +898,7 @@
     assert!(stopped.iter().any(|command| matches!(command, Command::Stop(..))), "{stopped:?}");
 }
 
-/// An answer that is ready is delivered, also while the job is being given up.
+/// A result that is ready is delivered even while the job is being given up.
 #[test]
 fn a_job_that_completes_while_it_is_given_up_is_answered_with_its_result() {
     let (mut site, agents) = Site::new(&[0]);
--- a/crates/decide/tests/dispatch_links.rs
+++ b/crates/decide/tests/dispatch_links.rs
@@ -1,4 +1,4 @@
-//! An entry that has links to some of all agents: who gets its work, and what it says of
+//! An entry with links to only some of the agents: which agents get its tasks, and how it answers
 //! jobs that its own agents cannot hold.
 
 use {
@@ -17,7 +17,7 @@
 const LARGER: Resources = Resources { cpu_milli: 15_000, memory_mb: 1_000, accelerators: 0 };
 const NOW_MS: u64 = 100;
 
-/// An entry with so many agents whose upstreams are free.
+/// Creates an entry with this many agents whose upstreams are free.
 fn entry(run: u64, agents: usize) -> (Dispatch, Vec<AgentKey>) {
     let mut dispatch = Dispatch::new(DispatchLimits::default(), Incarnation(run));
     let connect = |number| {
@@ -32,7 +32,7 @@
             labels: Vec::new(),
             leaving: false,
         };
-        dispatch.set_life(agent, life);
+        dispatch.set_instance(agent, life);
         let load = UpstreamLoad {
             usable: true,
             capacity: CAPACITY,
@@ -78,8 +78,7 @@
     placed.collect()
 }
 
-/// With the same view of free agents, entries that all chose the same one would overfill
-/// it before it can tell.
+/// Entries that all chose the same free agent would overload it before it can report.
 #[test]
 fn entries_with_the_same_view_choose_different_agents() {
     let first_choice = |run| {
@@ -101,12 +100,12 @@
     }
     assert_eq!(placed(&mut dispatch), [agents[1]; 4]);
     assert_eq!(dispatch.pool_view(agents[1]).agents, 1);
-    // Linked again, it is counted again.
+    // The agent has reconnected and counts again.
     dispatch.agent_ready(agents[0], NOW_MS);
     assert_eq!(dispatch.pool_view(agents[1]), PoolView { agents: 2, largest: CAPACITY });
 }
 
-/// "Failed" would not be true: it can run at another entry.
+/// "Failed" would be false: the job can run at another entry.
 #[test]
 fn what_fits_an_upstream_of_another_entry_has_not_failed() {
     let (mut dispatch, agents) = entry(1, 2);
@@ -121,7 +120,7 @@
     assert_eq!(dispatch.submit(job(2, 16_000, None), NOW_MS), Err(JobAnswer::Failed));
 }
 
-/// Held, it would be refused only when its caller has nearly given up.
+/// If the entry kept the job, it would be refused only shortly before its caller gives up.
 #[test]
 fn what_needs_a_label_of_another_entrys_agents_is_refused_at_once() {
     let (mut dispatch, _) = entry(1, 2);
--- a/crates/decide/tests/evacuation.rs
+++ b/crates/decide/tests/evacuation.rs
@@ -1,5 +1,5 @@
-//! Evacuated data centres: nothing is placed or started there, what runs goes on, and
-//! admission counts without their room.
+//! Evacuated data centres: nothing is placed or started there, running tasks continue, and
+//! admission ignores their capacity.
 
 use {
     std::sync::Arc,
@@ -60,7 +60,7 @@
     }
 }
 
-/// An entry at 100 ms with an idle agent in each of these data centres.
+/// Creates an entry at 100 ms with an idle agent in each of these data centres.
 fn site(data_centres: &[&str]) -> (Dispatch, Vec<AgentKey>) {
     let mut dispatch = Dispatch::new(DispatchLimits::default(), ENTRY);
     let agents = data_centres.iter().enumerate().map(|(number, data_centre)| {
@@ -68,7 +68,7 @@
         let agent = dispatch.agent_connected(&name, Incarnation(1), None, 100);
         dispatch.set_data_centre(agent, data_centre);
         dispatch.agent_ready(agent, 100);
-        dispatch.set_life(agent, life());
+        dispatch.set_instance(agent, life());
         report(&mut dispatch, agent, &[], 100);
         agent
     });
@@ -135,7 +135,7 @@
     let late = dispatch.agent_connected("late", Incarnation(1), None, 100);
     dispatch.set_data_centre(late, "south");
     dispatch.agent_ready(late, 100);
-    dispatch.set_life(late, life());
+    dispatch.set_instance(late, life());
     report(&mut dispatch, late, &[], 100);
     dispatch.submit(job(1, 2, 100), 100).unwrap();
     let placed = placements(&mut dispatch);
@@ -158,7 +158,7 @@
 
 #[test]
 fn admission_counts_without_the_room_before_queues_show_it() {
-    // Four agents hold eight tasks at once; with one of them a third round is too late.
+    // Four agents hold eight tasks at once; with one of them, a third round would be too late.
     let data_centres = ["north", "south", "south", "south"];
     let (mut dispatch, _) = site(&data_centres);
     assert!(dispatch.submit(job(1, 8, 100), 100).is_ok());
@@ -208,7 +208,7 @@
     assert_eq!(held, evacuations(10, &[]));
 }
 
-/// A ledger whose upstream runs task 0 of a job of four, of which two have room.
+/// Creates a ledger whose upstream runs task 0 of a job with four tasks and has room for two.
 fn busy_ledger() -> Ledger {
     let mut ledger = Ledger::new(LedgerLimits::default());
     ledger.set_upstream(life());
--- a/crates/decide/tests/job.rs
+++ b/crates/decide/tests/job.rs
@@ -29,7 +29,7 @@
     TaskAttempt { index, attempt }
 }
 
-/// Hands over an event; further attempts are allowed.
+/// Passes an event to the job; further attempts are allowed.
 fn on(job: &mut Job, event: Event, now_ms: u64) -> Vec<Action> {
     job.handle_event(event, now_ms, &mut |_| Some(0))
 }
@@ -144,7 +144,7 @@
     assert_eq!(verdict(&actions), Some((Outcome::Unknown, Reason::AgentUnreachable)));
     assert_eq!(answer(&actions).unwrap().peer.as_deref(), Some("a"));
     assert!(answer(&actions).unwrap().retry_after_ms.is_some());
-    // It is back, and tells.
+    // The agent is back and reports the end.
     let actions = on(&mut job, finished(placed), 3);
     assert_eq!(verdict(&actions).unwrap().0, Outcome::Complete);
 }
--- a/crates/decide/tests/job_machine.rs
+++ b/crates/decide/tests/job_machine.rs
@@ -1,5 +1,5 @@
-//! A job under random events against agents that keep the start gate's rules:
-//! late and doubled replies, breaks, lost runs, cancellations, fences.
+//! Property tests of a job under random events, with agents that follow the rules of the start
+//! gate: late and duplicate replies, broken connections, lost agents, cancellations, fences.
 
 use {
     proptest::{collection::vec, prelude::*},
@@ -18,7 +18,7 @@
 const DEADLINE_MS: u64 = 1_000;
 const REPORT_WAIT_MS: u64 = 200;
 
-/// One thing that happens. Numbers choose among what is possible.
+/// One event of a test run. Numbers select among the possible targets.
 #[derive(Clone, Debug)]
 enum Step {
     /// The dispatcher places a waiting attempt.
@@ -26,17 +26,17 @@
         waiting: usize,
         agent: u32,
     },
-    /// A message of the home reaches its agent: it starts the task or refuses.
+    /// A message of the home entry reaches its agent, which starts or refuses the task.
     Arrive {
         message: usize,
         starts: bool,
     },
-    /// A task that runs ends.
+    /// A running task ends.
     End {
         running: usize,
         end: u8,
     },
-    /// What an agent knows reaches the home as a reply.
+    /// An agent's record reaches the home entry as a reply.
     Reply {
         placement: usize,
     },
@@ -44,11 +44,11 @@
     Break {
         placement: usize,
     },
-    /// The agent is out of reach for long, and may come back.
+    /// The agent is unreachable for long and may come back.
     Unreachable {
         placement: usize,
     },
-    /// The agent's run is gone with all it knew.
+    /// The agent's incarnation ends and its records are lost.
     Lose {
         agent: u32,
     },
@@ -92,7 +92,7 @@
     Tombstone,
 }
 
-/// The agents as they are, whatever the home knows of them.
+/// The true state of the agents, whatever the home entry knows.
 #[derive(Default)]
 struct Fleet {
     records: HashMap<(UpstreamKey, TaskAttempt), Known>,
@@ -104,11 +104,11 @@
     job: Job,
     now_ms: u64,
     waiting: Vec<TaskAttempt>,
-    /// Messages on their way to an agent.
+    /// Messages in transit to an agent.
     messages: Vec<(UpstreamKey, PlacementKey)>,
-    /// Placements without a reply at the home.
+    /// Placements without a reply at the home entry.
     open: Vec<(UpstreamKey, PlacementKey)>,
-    /// Refusals on their way back.
+    /// Refusals in transit to the home entry.
     refusals: HashMap<PlacementKey, bool>,
     revokes: Vec<(UpstreamKey, TaskAttempt)>,
     answers: Vec<Answer>,
@@ -186,7 +186,7 @@
         }
         let record = self.fleet.records.get(&(upstream, placement.task));
         match record {
-            // It joins the first.
+            // A copy of the message joins the first one.
             Some(_) => {}
             None if starts => {
                 self.fleet.records.insert((upstream, placement.task), Known::Running);
@@ -337,7 +337,7 @@
         }
     }
 
-    /// Lets all messages arrive late and time pass.
+    /// Lets time pass and all messages arrive late.
     fn finish(&mut self) {
         self.take(Step::Tick { ms: 2 * DEADLINE_MS });
         self.take(Step::Tick { ms: 2 * DEADLINE_MS });
--- a/crates/decide/tests/shedding.rs
+++ b/crates/decide/tests/shedding.rs
@@ -28,7 +28,7 @@
         let mut dispatch = Dispatch::new(DispatchLimits::default(), Incarnation(1));
         let agent = dispatch.agent_connected("agent", Incarnation(1), None, 0);
         dispatch.agent_ready(agent, 0);
-        dispatch.set_life(
+        dispatch.set_instance(
             agent,
             UpstreamInstance {
                 id: InstanceId::without_start("life"),
--- a/crates/entry/src/runs/links.rs
+++ b/crates/entry/src/runs/links.rs
@@ -161,7 +161,7 @@
             if let Some(before) = before {
                 before.replaced.notify_one();
             }
-            let upstream = dispatch.life(agent).cloned();
+            let upstream = dispatch.instance(agent).cloned();
             dispatch.message_sent(agent, None, now_ms);
             outbox.push(ToRunsAgent::Welcome { entry: service.incarnation, upstream });
             agent
@@ -241,7 +241,7 @@
                     life = life.id,
                     leaving = life.leaving
                 );
-                self.service.change(|dispatch, _| dispatch.set_life(self.agent, life));
+                self.service.change(|dispatch, _| dispatch.set_instance(self.agent, life));
             }
             FromRunsAgent::Entries { connected, named } => {
                 self.service.set_linked(self.agent, connected, named);
--- a/crates/entry/src/runs/mod.rs
+++ b/crates/entry/src/runs/mod.rs
@@ -286,7 +286,7 @@
                     dispatch.message_sent(agent, None, now_ms);
                     self.send(agent, ToRunsAgent::Withdraw(tasks));
                 }
-                Command::Finish(agent, job, give_up_in_ms) => {
+                Command::JobMostlyStarted(agent, job, give_up_in_ms) => {
                     dispatch.message_sent(agent, None, now_ms);
                     self.send(agent, ToRunsAgent::JobMostlyStarted { job, give_up_in_ms });
                 }
