--- a/crates/decide/tests/cold.rs
+++ b/crates/decide/tests/cold.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_life_is_cold_for_as_long_as_it_said_last() {
+fn an_instance_is_cold_for_as_long_as_it_last_announced() {
     let mut ledger = ledger();
     assert_eq!(ledger.cold_until_ms(100), None);
     ledger.handle_cold_announcement(started(1), 3_000, 100);
@@ -44,18 +44,18 @@
 
 /// The next instance may announce itself before it answers the agent.
 #[test]
-fn what_a_life_said_counts_for_that_life() {
+fn an_announcement_counts_for_its_instance_only() {
     let mut ledger = ledger();
     ledger.handle_cold_announcement(started(2), 3_000, 100);
     assert_eq!(ledger.cold_until_ms(100), None);
     ledger.set_upstream(life(&started(2)));
     assert_eq!(ledger.cold_until_ms(200), Some(3_100));
     ledger.handle_cold_announcement(started(1), 0, 300);
-    assert_eq!(ledger.cold_until_ms(300), Some(3_100), "said by an earlier life");
+    assert_eq!(ledger.cold_until_ms(300), Some(3_100), "announced by an earlier instance");
 }
 
 #[test]
-fn a_life_that_does_not_tell_its_start_is_known_by_its_id() {
+fn an_instance_without_a_start_time_is_known_by_its_id() {
     let mut ledger = ledger();
     ledger.handle_cold_announcement(InstanceId::without_start("a"), 3_000, 100);
     assert_eq!(ledger.cold_until_ms(100), Some(3_100));
--- a/crates/decide/tests/crashes.rs
+++ b/crates/decide/tests/crashes.rs
@@ -30,11 +30,11 @@
 /// The job under test.
 const JOB: CallerJobId = CallerJobId(1);
 /// Crashes of upstreams under one task after which it is never started again.
-const MOST_CRASHES: u32 = 3;
+const MAX_CRASHES: u32 = 3;
 /// Upstreams lost within a second in a mass loss.
 const LOST_IN_A_SECOND: usize = 24;
 /// Time within which a job is answered after its last crash, in milliseconds.
-const JUDGED_MS: u64 = 300;
+const VERDICT_MS: u64 = 300;
 
 fn life(id: &str, leaving: bool) -> UpstreamInstance {
     let (id, pool) = (InstanceId::without_start(id), "desk".to_owned());
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn a_life_that_ends_without_a_word_is_a_crash() {
+fn an_instance_that_ends_without_notice_has_crashed() {
     let mut ledger = running();
     ledger.set_upstream(life("b", false));
     assert_eq!(last_event(&ledger), RunEvent::Crashed);
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn an_upstream_that_left_or_said_that_it_leaves_has_not_crashed() {
+fn an_upstream_that_left_or_announced_leaving_has_not_crashed() {
     let mut ledger = running();
     ledger.end_instance(InstanceEnd::Left);
     assert_eq!(last_event(&ledger), RunEvent::Lost);
@@ -266,7 +266,7 @@
 
     /// Crashes the upstream of the task's agent while nothing else of interest runs there. The
     /// agent sends the crash to all entries before it reports the run.
-    fn crash_told(&mut self, task: TaskKey) {
+    fn crash_and_report(&mut self, task: TaskKey) {
         let Some(&(agent, _)) = self.placed.get(&task) else { return };
         let known = self.at_agents.entry((agent, task)).or_default();
         *known = (known.0 + 1, self.now_ms);
@@ -312,7 +312,7 @@
                         self.placed.insert(task, (agent, start.run));
                         *self.starts.entry(task).or_default() += 1;
                         let crashes = self.crashes.get(&task).copied().unwrap_or(0);
-                        assert!(crashes < MOST_CRASHES, "{task} is started after {crashes}");
+                        assert!(crashes < MAX_CRASHES, "{task} is started after {crashes}");
                     }
                 }
                 Command::Stop(_, job) => self.stop(job),
@@ -335,32 +335,32 @@
 #[test]
 fn a_task_under_which_three_upstreams_crashed_fails_its_job() {
     let mut site = Site::with_job();
-    for _ in 0..MOST_CRASHES {
+    for _ in 0..MAX_CRASHES {
         site.tell(task(0), RunEvent::Started);
         site.tell(task(0), RunEvent::Crashed);
     }
-    assert_eq!(site.answer(), None, "others may crash yet");
-    site.pass(JUDGED_MS);
-    assert_eq!(site.starts[&task(0)], MOST_CRASHES);
+    assert_eq!(site.answer(), None, "other upstreams may still crash");
+    site.pass(VERDICT_MS);
+    assert_eq!(site.starts[&task(0)], MAX_CRASHES);
     assert_eq!(site.answer(), Some(JobAnswer::Failed));
 }
 
 #[test]
 fn a_crash_that_is_told_and_reported_counts_once() {
     let mut site = Site::with_job();
-    site.crash_told(task(0));
-    site.crash_told(task(0));
-    site.pass(JUDGED_MS);
+    site.crash_and_report(task(0));
+    site.crash_and_report(task(0));
+    site.pass(VERDICT_MS);
     assert_eq!(site.answer(), None);
-    site.crash_told(task(0));
-    site.pass(JUDGED_MS);
+    site.crash_and_report(task(0));
+    site.pass(VERDICT_MS);
     assert_eq!(site.answer(), Some(JobAnswer::Failed));
 }
 
 #[test]
 fn a_job_that_crashed_three_upstreams_is_refused_by_another_entry() {
     let mut site = Site::with_job();
-    (0..MOST_CRASHES).for_each(|_| site.crash_told(task(0)));
+    (0..MAX_CRASHES).for_each(|_| site.crash_and_report(task(0)));
     site.replace_entry();
     site.submit(JOB, TASKS);
     assert_eq!(
@@ -368,7 +368,7 @@
         Some(JobAnswer::Unknown { reason: NoResultReason::Crashing }),
         "not judged yet"
     );
-    site.pass(JUDGED_MS);
+    site.pass(VERDICT_MS);
     site.submit(JOB, TASKS);
     assert_eq!(site.answer(), Some(JobAnswer::Failed));
     assert!(site.placed.is_empty());
@@ -389,7 +389,7 @@
 
 /// A copy of the job runs here while the first one crashes upstreams for another entry.
 #[test]
-fn a_copy_is_given_up_by_what_agents_tell() {
+fn a_copy_is_given_up_when_agents_report_crashes() {
     let mut site = Site::with_job();
     site.start_all();
     for run in 0..3 {
@@ -397,13 +397,13 @@
         site.dispatch.record_crash_reports(&[told], site.now_ms);
     }
     site.act();
-    site.pass(JUDGED_MS);
+    site.pass(VERDICT_MS);
     assert_eq!(site.answer(), Some(JobAnswer::Failed));
 }
 
 /// An entry that has just started may receive a job before all agents have sent it their crashes.
 #[test]
-fn one_agent_is_enough_to_tell_of_a_suspect() {
+fn one_agent_is_enough_to_report_a_suspect() {
     let mut first = entry_with(3, 100).0;
     let told = |run| TaskCrashes { agent: Incarnation(run), task: task(0), crashes: 1, ago_ms: 0 };
     assert_eq!(first.record_crash_reports(&[told(0)], 100), [], "one crash makes no suspect");
@@ -415,7 +415,11 @@
     let mut next = entry_with(3, 600).0;
     next.record_crash_reports(&known, 600);
     assert_eq!(next.submit(request(JOB, 1, 600), 600), Err(JobAnswer::Failed));
-    assert_eq!(first.record_crash_reports(&known, 600), [], "what goes round comes to rest");
+    assert_eq!(
+        first.record_crash_reports(&known, 600),
+        [],
+        "known crashes are not passed on again"
+    );
 }
 
 #[test]
@@ -428,7 +432,7 @@
     assert_eq!(told, [TaskCrashes { agent: own, task: task(0), crashes: 1, ago_ms: 30 }]);
     assert_eq!(ledger.crashes_after(last, own, 40), (vec![], last));
     ledger.learn_crashes(&told, own, 40);
-    assert_eq!(ledger.crashes_after(last, own, 40), (vec![], last), "its own");
+    assert_eq!(ledger.crashes_after(last, own, 40), (vec![], last), "its own crashes are not new");
     ledger.drop_expired(59_000);
     assert_eq!(ledger.crashes_after(0, own, 59_000).0.len(), 1);
     ledger.drop_expired(61_000);
@@ -448,9 +452,9 @@
 }
 
 #[test]
-fn losses_for_other_causes_count_for_nothing() {
+fn losses_for_other_causes_are_not_crashes() {
     let mut site = Site::with_job();
-    for _ in 0..2 * MOST_CRASHES {
+    for _ in 0..2 * MAX_CRASHES {
         site.tell(task(0), RunEvent::Started);
         site.tell(task(0), RunEvent::Lost);
     }
@@ -460,7 +464,7 @@
 
 /// Tasks of a lost upstream are placed again at once; only tasks with two crashes run apart.
 #[test]
-fn one_crash_keeps_nothing_waiting_and_two_keep_tasks_apart() {
+fn one_crash_delays_no_task_and_two_keep_tasks_apart() {
     let mut site = Site::with_job();
     let crash = |site: &mut Site| {
         for index in 0..TASKS {
@@ -474,7 +478,7 @@
     let mut places: Vec<_> = site.placed.values().map(|(agent, _)| *agent).collect();
     places.sort_unstable();
     places.dedup();
-    assert_eq!(places.len(), usize::from(TASKS), "each at an upstream of its own");
+    assert_eq!(places.len(), usize::from(TASKS), "each task at its own upstream");
 }
 
 proptest! {
@@ -493,7 +497,7 @@
             };
             site.tell(task(index), event);
             if site.answer() == Some(JobAnswer::Failed) {
-                prop_assert!(site.crashes.values().any(|crashes| *crashes == MOST_CRASHES));
+                prop_assert!(site.crashes.values().any(|crashes| *crashes == MAX_CRASHES));
             }
         }
     }
@@ -513,14 +517,14 @@
                 site.submit(JOB, 1);
             }
             site.start_all();
-            site.crash_told(task(0));
+            site.crash_and_report(task(0));
             site.pass(wait_ms);
         }
         let crashes = site.crashes.get(&task(0)).copied().unwrap_or(0);
-        prop_assert!(crashes <= MOST_CRASHES);
-        if crashes == MOST_CRASHES {
+        prop_assert!(crashes <= MAX_CRASHES);
+        if crashes == MAX_CRASHES {
             site.replace_entry();
-            site.pass(JUDGED_MS);
+            site.pass(VERDICT_MS);
             site.submit(JOB, 1);
             prop_assert_eq!(site.answer(), Some(JobAnswer::Failed));
         }
@@ -545,7 +549,7 @@
             let (agent, _) = site.placed[&task(0)];
             site.crash(agent, true);
         }
-        site.pass(JUDGED_MS);
+        site.pass(VERDICT_MS);
         prop_assert_eq!(site.answer(), Some(JobAnswer::Failed));
         prop_assert_eq!(site.answers.len(), 1);
     }
@@ -575,7 +579,7 @@
             site.crash(lost, false);
             site.pass(40);
         }
-        site.pass(JUDGED_MS);
+        site.pass(VERDICT_MS);
         prop_assert!(!site.answers.values().any(|answer| *answer == JobAnswer::Failed));
     }
 }
--- a/crates/decide/tests/dispatch.rs
+++ b/crates/decide/tests/dispatch.rs
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn what_was_sent_counts_until_the_agent_has_heard_it() {
+fn placements_count_until_the_agent_has_received_them() {
     let (mut site, agents) = Site::new(&[0, 0]);
     site.submit(job(1, vec![step(1)]));
     let (first, placement) = site.placements().remove(0);
@@ -190,7 +190,7 @@
     site.tell(agents[0], task(1, 0, 0), 1, done());
     assert!(site.answers().is_empty());
     site.tell(agents[0], task(1, 0, 0), 1, done());
-    assert!(site.answers().is_empty(), "a report told twice counts once");
+    assert!(site.answers().is_empty(), "a repeated report counts once");
     site.tell(agents[0], task(1, 0, 1), 1, done());
     assert_eq!(site.answers(), [JobAnswer::Completed]);
     assert_eq!(site.dispatch.job_count(), 0);
@@ -239,7 +239,7 @@
 }
 
 #[test]
-fn not_run_is_said_only_when_no_task_began() {
+fn not_run_is_answered_only_if_no_task_started() {
     let (mut site, agents) = Site::new(&[0]);
     let key = site.submit(job(1, vec![step(1)]));
     site.dispatch.take_commands();
@@ -442,7 +442,7 @@
 }
 
 #[test]
-fn labels_and_counts_by_upstream_bind() {
+fn labels_and_limits_per_upstream_are_kept() {
     let (mut site, agents) = Site::new(&[0, 0, 0]);
     site.dispatch.set_instance(agents[0], life(&["b"]));
     site.dispatch.set_instance(agents[1], life(&["b"]));
@@ -470,7 +470,7 @@
 
 /// A cold upstream must not get as many tasks as the others.
 #[test]
-fn a_cold_upstream_gets_what_others_would_keep_waiting() {
+fn a_cold_upstream_gets_tasks_that_would_wait_elsewhere() {
     let (mut site, agents) = Site::new(&[0, 6_000]);
     site.dispatch.set_cold(agents[0], 3_000, site.now_ms);
     site.submit(job(1, vec![step(1)]));
@@ -498,7 +498,7 @@
 
 /// If all upstreams are cold, for example after a power failure, jobs are accepted as usual.
 #[test]
-fn cold_upstreams_refuse_nobody() {
+fn cold_upstreams_do_not_cause_refusals() {
     let (mut site, agents) = Site::new(&[0, 0]);
     agents.iter().for_each(|&agent| site.dispatch.set_cold(agent, 3_000, site.now_ms));
     site.submit(job(1, vec![step(6)]));
@@ -536,7 +536,7 @@
 /// Run times are off by 40 %, so tasks queue at one upstream while another has room again. Half
 /// of that room is used for tasks that wait elsewhere.
 #[test]
-fn tasks_that_wait_are_asked_back_for_room_elsewhere() {
+fn waiting_tasks_are_recalled_for_room_elsewhere() {
     let (mut site, agents) = Site::new(&[0, 9_000]);
     site.submit(job(1, vec![step(6)]));
     let placed = site.placements();
@@ -567,7 +567,7 @@
 /// Several entries claim the same room. A task that was recalled and waits again is left in place
 /// for twice as long each time.
 #[test]
-fn a_task_that_is_asked_back_again_and_again_comes_to_rest() {
+fn the_wait_before_a_recall_doubles_each_time() {
     let (mut site, agents) = Site::new(&[0, 0]);
     let waiting = UpstreamLoad { waiting: 3, waiting_milli_ms: [900_000, 0, 0, 0], ..load(9_000) };
     site.submit(job(1, vec![step(1)]));
@@ -595,7 +595,7 @@
 /// Jobs that can never succeed fail on every upstream. Other jobs must not be refused because of
 /// them.
 #[test]
-fn failures_everywhere_refuse_nobody() {
+fn failures_on_all_upstreams_do_not_cause_refusals() {
     let (mut site, agents) = Site::new(&[0, 0]);
     for &agent in &agents {
         let failing = UpstreamLoad { failing_percent: 60, ..load(0) };
@@ -706,7 +706,7 @@
 /// Guards against a copy of a job that runs for another entry being placed at its agent every
 /// millisecond.
 #[test]
-fn a_task_that_is_refused_again_and_again_rests() {
+fn a_task_that_is_refused_repeatedly_pauses() {
     let (mut site, agents) = Site::new(&[0]);
     site.submit(job(1, vec![step(1)]));
     let refused = RunEvent::NotStarted(NotStarted::Refused);
@@ -724,7 +724,7 @@
 /// Guards against a task that keeps running beside a copy of its job, because its stop was lost
 /// with the connection.
 #[test]
-fn what_is_over_is_stopped_again_on_a_new_connection() {
+fn ended_jobs_are_stopped_again_on_a_new_connection() {
     let (mut site, agents) = Site::new(&[0]);
     let held = [(task(1, 0, 0), 1)];
     let key = site.submit(job(1, vec![step(1)]));
@@ -737,15 +737,15 @@
         site.dispatch.take_commands()
     };
     let stop = Command::Stop(agents[0], CallerJobId(1));
-    assert_eq!(connect(&mut site), [], "it is not over");
+    assert_eq!(connect(&mut site), [], "the job is still open");
     site.dispatch.cancel(key);
-    assert_eq!(connect(&mut site), std::slice::from_ref(&stop), "it is being ended");
+    assert_eq!(connect(&mut site), std::slice::from_ref(&stop), "the job is being ended");
     site.tell(agents[0], task(1, 0, 0), 1, RunEvent::Lost);
-    assert_eq!(connect(&mut site), [stop], "it was answered");
+    assert_eq!(connect(&mut site), [stop], "the job was answered");
 }
 
 #[test]
-fn a_refusal_without_a_forecast_does_not_tell_that_of_another_job() {
+fn a_refusal_without_a_forecast_does_not_report_that_of_another_job() {
     let (mut site, _) = Site::new(&[0]);
     site.submit(job(1, vec![step(1)]));
     assert_eq!(site.dispatch.last_forecast().end_in_ms, 100);
@@ -756,7 +756,7 @@
 
 /// An entry that stops refuses only jobs that may not end before it does.
 #[test]
-fn an_entry_that_stops_takes_what_surely_ends_by_then() {
+fn a_stopping_entry_accepts_jobs_that_end_before_the_stop() {
     let (mut site, _) = Site::new(&[0, 0]);
     site.dispatch.plan_stop(site.now_ms + 250);
     site.submit(job(1, vec![step(1)]));
@@ -784,7 +784,7 @@
 /// Guards against accepting jobs that cannot end before the stop when one job in ten takes twice
 /// its forecast.
 #[test]
-fn an_entry_that_stops_knows_how_long_jobs_take() {
+fn a_stopping_entry_learns_how_long_jobs_take() {
     let (mut site, agents) = Site::new(&[0]);
     let ask = |site: &mut Site, id, left_ms| {
         site.dispatch.plan_stop(site.now_ms + left_ms);
@@ -807,7 +807,7 @@
 
 /// Only the first step is placed and forecast when a job arrives.
 #[test]
-fn an_entry_that_stops_counts_the_steps_to_come() {
+fn a_stopping_entry_counts_later_steps() {
     let (mut site, _) = Site::new(&[0, 0]);
     site.dispatch.plan_stop(site.now_ms + 300);
     site.submit(job(1, vec![step(1)]));
@@ -821,7 +821,7 @@
 
 /// Without an upstream the forecast is 0, which is not the duration of the job.
 #[test]
-fn an_entry_that_stops_without_upstreams_counts_run_times() {
+fn a_stopping_entry_without_upstreams_counts_run_times() {
     let (mut site, _) = Site::new(&[]);
     site.dispatch.plan_stop(site.now_ms + 150);
     let refused = site.refuse(job(1, vec![step(1)]));
@@ -833,7 +833,7 @@
 
 /// A job that runs longer than expected must still be answered.
 #[test]
-fn an_entry_that_stops_answers_what_runs_longer_than_expected() {
+fn a_stopping_entry_answers_jobs_that_run_longer_than_expected() {
     let (mut site, agents) = Site::new(&[0]);
     site.submit(job(1, vec![step(1)]));
     site.tell(agents[0], task(1, 0, 0), 1, RunEvent::Started);
@@ -851,7 +851,7 @@
 
 /// An unreachable agent must not delay an answer beyond the stop.
 #[test]
-fn an_entry_that_stops_answers_without_the_word_of_an_agent() {
+fn a_stopping_entry_answers_without_a_report_of_the_agent() {
     let (mut site, agents) = Site::new(&[0]);
     site.submit(job(1, vec![step(1)]));
     let stops_ms = site.now_ms + 250;
@@ -866,7 +866,7 @@
 
 /// Jobs that only wait have not run, and their callers are told so.
 #[test]
-fn an_entry_that_stops_refuses_what_has_not_begun() {
+fn a_stopping_entry_answers_not_run_for_unstarted_jobs() {
     let (mut site, agents) = Site::new(&[0]);
     site.submit(job(1, vec![step(1)]));
     site.dispatch.plan_stop(site.now_ms + 250);
--- a/crates/decide/tests/dispatch_links.rs
+++ b/crates/decide/tests/dispatch_links.rs
@@ -107,7 +107,7 @@
 
 /// "Failed" would be false: the job can run at another entry.
 #[test]
-fn what_fits_an_upstream_of_another_entry_has_not_failed() {
+fn a_job_that_fits_an_upstream_of_another_entry_has_not_failed() {
     let (mut dispatch, agents) = entry(1, 2);
     let too_large = || job(1, 12_000, None);
     assert_eq!(dispatch.submit(too_large(), NOW_MS), Err(JobAnswer::Failed));
@@ -122,7 +122,7 @@
 
 /// If the entry kept the job, it would be refused only shortly before its caller gives up.
 #[test]
-fn what_needs_a_label_of_another_entrys_agents_is_refused_at_once() {
+fn a_job_that_needs_a_label_of_another_entrys_agents_is_refused_at_once() {
     let (mut dispatch, _) = entry(1, 2);
     let answer = dispatch.submit(job(1, 1_000, Some("rack-3")), NOW_MS);
     assert!(
--- a/crates/decide/tests/evacuation.rs
+++ b/crates/decide/tests/evacuation.rs
@@ -125,7 +125,7 @@
     report(&mut dispatch, agents[0], &[], 200);
     report(&mut dispatch, agents[1], &[], 200);
     dispatch.submit(job(2, 4, 200), 200).unwrap();
-    assert_eq!(placements(&mut dispatch).len(), 2, "taken back, both serve");
+    assert_eq!(placements(&mut dispatch).len(), 2, "both serve after the evacuation");
 }
 
 #[test]
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn what_an_agent_hands_back_is_placed_elsewhere_at_once() {
+fn returned_tasks_are_placed_elsewhere_at_once() {
     let (mut dispatch, agents) = site(&["north", "south"]);
     dispatch.submit(job(1, 4, 100), 100).unwrap();
     let placed = placements(&mut dispatch);
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn admission_counts_without_the_room_before_queues_show_it() {
+fn admission_ignores_evacuated_capacity_before_queues_grow() {
     // Four agents hold eight tasks at once; with one of them, a third round would be too late.
     let data_centres = ["north", "south", "south", "south"];
     let (mut dispatch, _) = site(&data_centres);
@@ -199,11 +199,11 @@
 }
 
 #[test]
-fn a_list_that_was_true_earlier_is_not_taken() {
+fn an_older_list_of_evacuations_is_ignored() {
     let mut held = evacuations(7, &["north"]);
     assert!(!held.merge_newer(&evacuations(6, &[])));
-    assert!(!held.merge_newer(&evacuations(9, &["north"])), "it says the same");
-    assert!(!held.merge_newer(&evacuations(8, &[])), "the same was true later");
+    assert!(!held.merge_newer(&evacuations(9, &["north"])), "same data centres");
+    assert!(!held.merge_newer(&evacuations(8, &[])), "a newer revision is known");
     assert!(held.merge_newer(&evacuations(10, &[])));
     assert_eq!(held, evacuations(10, &[]));
 }
@@ -254,13 +254,13 @@
 }
 
 #[test]
-fn an_evacuated_agent_hands_back_what_waits_and_lets_the_rest_run() {
+fn an_evacuated_agent_returns_waiting_tasks_and_keeps_running_ones() {
     let mut ledger = busy_ledger();
     assert!(ledger.set_evacuated(true));
     let back = RunEvent::NotStarted(NotStarted::Evacuated);
     let told = events(&ledger);
     assert_eq!(told, [(0, RunEvent::Started), (1, back), (2, back), (3, back)]);
-    assert!(ledger.stops_due(4).is_empty(), "what runs goes on");
+    assert!(ledger.stops_due(4).is_empty(), "running tasks continue");
     let task = TaskKey { job: CallerJobId(1), step: 0, index: 0 };
     let done = RunEnd { number: 1, task, run: 1, kind: EndKind::Done };
     renew(&mut ledger, 103, &[], &[done]);
@@ -268,7 +268,7 @@
 }
 
 #[test]
-fn an_evacuated_agent_starts_nothing_until_it_is_taken_back() {
+fn an_evacuated_agent_starts_nothing_until_the_evacuation_ends() {
     let mut ledger = busy_ledger();
     ledger.set_evacuated(true);
     ledger.place(ENTRY, placement(2, 1), 5);
--- a/crates/decide/tests/job.rs
+++ b/crates/decide/tests/job.rs
@@ -76,7 +76,7 @@
     let first = job.open_placement(task(0, 0), A, 0).unwrap();
     let second = job.open_placement(task(1, 0), B, 0).unwrap();
     assert_eq!(on(&mut job, finished(second), 1), []);
-    assert_eq!(on(&mut job, finished(second), 1), [], "a doubled reply");
+    assert_eq!(on(&mut job, finished(second), 1), [], "a duplicate reply");
     let actions = on(&mut job, finished(first), 2);
     assert_eq!(verdict(&actions), Some((Outcome::Complete, Reason::Done)));
     assert_eq!(answer(&actions).unwrap().results.len(), 2);
@@ -219,7 +219,7 @@
 fn fenced_home() {
     let mut job = Job::new(parameters(2, 1));
     let placed = job.open_placement(task(0, 0), A, 0).unwrap();
-    assert_eq!(on(&mut job, Event::Fenced, 1), [], "what runs may finish");
+    assert_eq!(on(&mut job, Event::Fenced, 1), [], "running tasks may finish");
     assert_eq!(job.open_placement(task(1, 0), B, 2), None);
     assert!(!job.resend_placement(placed));
     let actions = on(&mut job, finished(placed), 3);
--- a/crates/decide/tests/job_machine.rs
+++ b/crates/decide/tests/job_machine.rs
@@ -256,7 +256,7 @@
             // A task of a job has no other attempt to wait for.
             self.stopped = true;
             let decides_at_ms = self.job.wake_at_ms(self.now_ms).unwrap_or(0);
-            assert!(decides_at_ms <= self.now_ms + REPORT_WAIT_MS, "held back");
+            assert!(decides_at_ms <= self.now_ms + REPORT_WAIT_MS, "the answer is delayed");
         }
     }
 
@@ -327,7 +327,7 @@
         let Some(last) = self.answers.last() else { return };
         let count = usize::from(self.job.parameters().task_count);
         let expected = if last.outcome == Outcome::Complete { count } else { 0 };
-        assert_eq!(last.results.len(), expected, "a partial answer");
+        assert_eq!(last.results.len(), expected, "wrong number of results");
         if last.outcome == Outcome::NotRun {
             assert!(self.fleet.starts.is_empty(), "not_run, but started");
             assert!(self.job.no_start_possible());
