--- a/crates/wire/src/runs.rs
+++ b/crates/wire/src/runs.rs
@@ -443,7 +443,7 @@
     pub found: bool,
 }
 
-/// From an agent to an entry.
+/// Messages about leased runs from an agent to an entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FromRunsAgent {
     /// Events of runs and the load after them. Also serves as the agent's heartbeat.
@@ -488,7 +488,7 @@
     },
 }
 
-/// From an entry to an agent.
+/// Messages about leased runs from an entry to an agent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ToRunsAgent {
     /// First message of the entry on a connection, in reply to [`RunsHello`].
