--- a/crates/agent/src/call.rs
+++ b/crates/agent/src/call.rs
@@ -16,7 +16,7 @@
         sync::Arc,
         time::{Duration, Instant},
     },
-    sycamorerail_decide::gate::Start,
+    sycamorerail_decide::gate::TaskStart,
     sycamorerail_telemetry::event,
     sycamorerail_wire::{
         answer::{Payload, Reason, TaskEnd},
@@ -69,8 +69,8 @@
 }
 
 /// Calls the upstream for a task that the gate has started, and records the outcome.
-async fn run_task(caller: Arc<UpstreamCaller>, core: Arc<Core>, start: Start) {
-    let Start { placement, end_by_ms, .. } = start;
+async fn run_task(caller: Arc<UpstreamCaller>, core: Arc<Core>, start: TaskStart) {
+    let TaskStart { placement, end_by_ms, .. } = start;
     let task = placement.task;
     let Some(request) = build_request(&caller, &core, placement) else {
         return core.record_not_started(task, Reason::Invalid);
--- a/crates/agent/src/core.rs
+++ b/crates/agent/src/core.rs
@@ -10,7 +10,9 @@
     },
     std::time::Duration,
     sycamorerail_clock::Clock,
-    sycamorerail_decide::gate::{Counts, Gate, Go, Limits, Placed, Start, UpstreamState},
+    sycamorerail_decide::gate::{
+        CallPermit, Counts, Gate, Limits, PlacementDecision, TaskStart, UpstreamState,
+    },
     sycamorerail_settings::agent::AgentSettings,
     sycamorerail_telemetry::{
         event,
@@ -46,7 +48,7 @@
 }
 
 /// Spawns the upstream call of a task that the gate has started.
-pub(crate) type SpawnCall = Box<dyn Fn(Arc<Core>, Start) -> AbortHandle + Send + Sync>;
+pub(crate) type SpawnCall = Box<dyn Fn(Arc<Core>, TaskStart) -> AbortHandle + Send + Sync>;
 
 pub(crate) struct Core {
     pub(crate) settings: AgentSettings,
@@ -116,7 +118,7 @@
         done
     }
 
-    fn call_upstream(self: &Arc<Self>, tasks: &mut Tasks, start: Start) {
+    fn call_upstream(self: &Arc<Self>, tasks: &mut Tasks, start: TaskStart) {
         let task = start.placement.task;
         let call = (self.spawn_call)(Arc::clone(self), start);
         tasks.set_call(task, call);
@@ -141,17 +143,17 @@
             let outcome = tasks.gate.place(placement, now_ms);
             counters::placement(&outcome);
             Some(match outcome {
-                Placed::Start(start) => {
+                PlacementDecision::Start(start) => {
                     self.call_upstream(tasks, *start);
                     PendingReply::InFlight(tasks.wait_for(task))
                 }
-                Placed::Queued { start_by_ms } => PendingReply::Queued {
+                PlacementDecision::Queued { start_by_ms } => PendingReply::Queued {
                     reply: tasks.wait_for(task),
                     start_within: Duration::from_millis(start_by_ms.saturating_sub(now_ms)),
                 },
-                Placed::Joined => PendingReply::InFlight(tasks.wait_for(task)),
-                Placed::Known(reply) => PendingReply::Ready(reply),
-                Placed::Refused(refusal) => PendingReply::Ready(refusal.reply()),
+                PlacementDecision::Joined => PendingReply::InFlight(tasks.wait_for(task)),
+                PlacementDecision::Settled(reply) => PendingReply::Ready(reply),
+                PlacementDecision::Refused(refusal) => PendingReply::Ready(refusal.reply()),
             })
         })
     }
@@ -184,10 +186,11 @@
     /// Marks the upstream call of a task as begun. Returns whether the agent may make the call:
     /// it must be the first one for the task, and the upstream must not be leaving.
     pub(crate) fn begin_upstream_call(self: &Arc<Self>, task: TaskId) -> bool {
-        let (go, now_ms) = self.update_tasks(|tasks, now_ms| (tasks.gate.go(task), now_ms));
+        let (go, now_ms) =
+            self.update_tasks(|tasks, now_ms| (tasks.gate.permit_call(task), now_ms));
         let leaving_for_ms = now_ms.saturating_sub(self.leaving_since_ms.load(Ordering::Acquire));
-        go != Go::Withdrawn
-            && invariant::check(Invariant::StartsOnce, go == Go::Call, &task)
+        go != CallPermit::Revoked
+            && invariant::check(Invariant::StartsOnce, go == CallPermit::Granted, &task)
             && invariant::check(
                 Invariant::NoWorkWhenLeaving,
                 leaving_for_ms < MAX_START_AFTER_LEAVING_MS,
@@ -197,21 +200,21 @@
 
     pub(crate) fn record_ended(self: &Arc<Self>, task: TaskId, end: TaskEnd, run_us: u64) {
         self.update_tasks(|tasks, now_ms| {
-            let settled = tasks.gate.ended(task, end, run_us, now_ms);
+            let settled = tasks.gate.record_end(task, end, run_us, now_ms);
             tasks.settle_all(settled.into_iter().collect());
         });
     }
 
     pub(crate) fn record_broken(self: &Arc<Self>, task: TaskId, reason: Reason) {
         self.update_tasks(|tasks, now_ms| {
-            let settled = tasks.gate.broken(task, reason, now_ms);
+            let settled = tasks.gate.record_broken(task, reason, now_ms);
             tasks.settle_all(settled.into_iter().collect());
         });
     }
 
     pub(crate) fn record_not_started(self: &Arc<Self>, task: TaskId, reason: Reason) {
         self.update_tasks(|tasks, _| {
-            let settled = tasks.gate.not_started(task, reason);
+            let settled = tasks.gate.record_not_started(task, reason);
             tasks.settle_all(settled.into_iter().collect());
         });
     }
--- a/crates/agent/src/counters.rs
+++ b/crates/agent/src/counters.rs
@@ -1,18 +1,18 @@
 //! Counters of an agent.
 
 use {
-    sycamorerail_decide::gate::{Placed, Refusal},
+    sycamorerail_decide::gate::{PlacementDecision, PlacementRefusal},
     sycamorerail_wire::{answer::TaskEnd, message::AgentReplyBody},
 };
 
 /// Counts the outcome of a placement, and the reason of a refusal.
-pub(crate) fn placement(outcome: &Placed) {
+pub(crate) fn placement(outcome: &PlacementDecision) {
     let result = match outcome {
-        Placed::Start(_) => "started",
-        Placed::Queued { .. } => "queued",
-        Placed::Joined => "joined",
-        Placed::Known(_) => "known",
-        Placed::Refused(Refusal { reason, .. }) => {
+        PlacementDecision::Start(_) => "started",
+        PlacementDecision::Queued { .. } => "queued",
+        PlacementDecision::Joined => "joined",
+        PlacementDecision::Settled(_) => "known",
+        PlacementDecision::Refused(PlacementRefusal { reason, .. }) => {
             metrics::counter!("sycamorerail_agent_refusals_total", "reason" => reason.name())
                 .increment(1);
             "refused"
--- a/crates/agent/src/leased/links/link.rs
+++ b/crates/agent/src/leased/links/link.rs
@@ -12,7 +12,7 @@
         },
         time::Duration,
     },
-    sycamorerail_decide::{echo::Echo, ledger::is_significant_change},
+    sycamorerail_decide::{ack_tracker::AckTracker, ledger::is_significant_change},
     sycamorerail_telemetry::event,
     sycamorerail_wire::{
         frames::{self, FrameError, FrameReader, FrameWriter},
@@ -71,7 +71,7 @@
     peer: SocketAddr,
     /// Incarnation of the entry.
     pub(super) entry: Incarnation,
-    echo: Mutex<Echo>,
+    acks: Mutex<AckTracker>,
     /// Number of messages received on this connection.
     heard: AtomicU64,
     /// Highest configuration revision that the entry is known to have.
@@ -118,15 +118,15 @@
         if let Some(instance) = upstream {
             agent.restore_upstream(instance);
         }
-        let mut echo = Echo::new(now_ms);
-        echo.sent(now_ms);
+        let mut acks = AckTracker::new(now_ms);
+        acks.record_sent(now_ms);
         let reported_up_to =
             AtomicU64::new(if last_entry == Some(entry) { last_report } else { 0 });
         let link = Self {
             agent: Arc::clone(agent),
             peer,
             entry,
-            echo: Mutex::new(echo),
+            acks: Mutex::new(acks),
             heard: AtomicU64::new(1),
             entry_revision: AtomicU64::new(0),
             entry_evacuations: Mutex::default(),
@@ -164,7 +164,7 @@
     async fn wait_silent(&self) {
         let mut dropped = self.agent.dropped_owners.subscribe();
         loop {
-            let confirmed_ms = self.echo.lock().confirmed_ms();
+            let confirmed_ms = self.acks.lock().acked_sent_ms();
             let silence_ms = self.agent.settings.limits.owner_timeout_ms;
             let left_ms = (confirmed_ms + silence_ms).saturating_sub(self.agent.clock.now_ms());
             if left_ms == 0 {
@@ -215,10 +215,10 @@
             ToRunsAgent::Unlinked => self.unlinked.notify_one(),
             ToRunsAgent::Heartbeat { heard, confirmed, agents, largest } => {
                 agent.links.update_from_heartbeat(self.peer, agents, &largest);
-                let mut echo = self.echo.lock();
-                echo.heard(heard);
-                let heard_ms = echo.confirmed_ms();
-                drop(echo);
+                let mut acks = self.acks.lock();
+                acks.record_ack(heard);
+                let heard_ms = acks.acked_sent_ms();
+                drop(acks);
                 let mut ledger = agent.ledger.lock();
                 ledger.note_owner_contact(self.entry, heard_ms);
                 ledger.confirm_reports(self.entry, confirmed);
@@ -277,7 +277,7 @@
             return Ok(());
         }
         for message in &messages {
-            self.echo.lock().sent(self.agent.clock.now_ms());
+            self.acks.lock().record_sent(self.agent.clock.now_ms());
             writer.push(message)?;
         }
         writer.flush().await
--- a/crates/agent/src/leased/links/mod.rs
+++ b/crates/agent/src/leased/links/mod.rs
@@ -16,7 +16,7 @@
         sync::Arc,
     },
     sycamorerail_decide::links::{
-        LinkChoice, LinkLimits, LinkState, choose, next_count, preferred,
+        LinkChoice, LinkLimits, LinkState, next_link_count, rank_entries, select_links,
     },
     sycamorerail_telemetry::event,
     sycamorerail_wire::{ids::Incarnation, runs::Resources},
@@ -60,8 +60,8 @@
     named_ms: u64,
     /// Entries that this one listed last.
     names: BTreeSet<SocketAddr>,
-    connected_ms: Option<u64>,
-    failing_ms: Option<u64>,
+    connected_since_ms: Option<u64>,
+    failing_since_ms: Option<u64>,
     /// Incarnation of the last connection to it.
     last_run: Option<Incarnation>,
     /// Number of agents in this agent's pool that are connected to it.
@@ -74,8 +74,8 @@
     fn state(&self) -> LinkState {
         LinkState {
             is_kept: self.kept.as_ref().is_some_and(|kept| *kept.borrow()),
-            connected_ms: self.connected_ms,
-            failing_ms: self.failing_ms,
+            connected_since_ms: self.connected_since_ms,
+            failing_since_ms: self.failing_since_ms,
         }
     }
 }
@@ -87,7 +87,7 @@
 
     pub(super) fn connected(&self) -> usize {
         let known = self.known.lock();
-        known.entries.values().filter(|entry| entry.connected_ms.is_some()).count()
+        known.entries.values().filter(|entry| entry.connected_since_ms.is_some()).count()
     }
 
     /// Adds addresses at which entries may be reached.
@@ -120,7 +120,8 @@
     /// Returns what the agent knows about all entries.
     fn cluster(&self) -> Cluster {
         let known = self.known.lock();
-        let connected = known.entries.iter().filter(|(_, entry)| entry.connected_ms.is_some());
+        let connected =
+            known.entries.iter().filter(|(_, entry)| entry.connected_since_ms.is_some());
         let connected = connected.map(|(address, _)| *address).collect();
         let named = known.named().into_iter().collect();
         Cluster { connected, named, largest: known.largest }
@@ -135,15 +136,15 @@
 
     fn connected_to(&self, peer: SocketAddr, run: Incarnation, now_ms: u64) {
         self.update_entry(peer, |entry| {
-            entry.connected_ms = Some(now_ms);
-            entry.failing_ms = None;
+            entry.connected_since_ms = Some(now_ms);
+            entry.failing_since_ms = None;
             entry.last_run = Some(run);
         });
     }
 
     fn disconnected_from(&self, peer: SocketAddr, now_ms: u64) {
         self.update_entry(peer, |entry| {
-            entry.connected_ms = None;
+            entry.connected_since_ms = None;
             entry.names.clear();
             entry.named_ms = now_ms;
         });
@@ -151,7 +152,7 @@
 
     fn failed(&self, peer: SocketAddr, now_ms: u64) {
         self.update_entry(peer, |entry| {
-            entry.failing_ms.get_or_insert(now_ms);
+            entry.failing_since_ms.get_or_insert(now_ms);
         });
     }
 
@@ -168,7 +169,7 @@
             return false;
         }
         entry.kept = None;
-        entry.failing_ms = None;
+        entry.failing_since_ms = None;
         true
     }
 }
@@ -184,7 +185,7 @@
         let named = self.named();
         self.entries.retain(|address, entry| {
             let is_old = now_ms >= entry.named_ms + FORGET_AFTER_MS;
-            let is_lost = entry.connected_ms.is_none() && !named.contains(address);
+            let is_lost = entry.connected_since_ms.is_none() && !named.contains(address);
             let is_forgotten = is_old && is_lost && !seeds.contains(address);
             if is_forgotten {
                 event!(Info, "entry_forgotten", peer = address);
@@ -199,19 +200,19 @@
     /// Returns the entries in the agent's order of preference.
     fn ranked(&self, agent_name: &str) -> Vec<(SocketAddr, LinkState)> {
         let addresses: Vec<_> = self.entries.keys().copied().collect();
-        let ranked = preferred(agent_name, &addresses);
+        let ranked = rank_entries(agent_name, &addresses);
         ranked.into_iter().map(|address| (address, self.entries[&address].state())).collect()
     }
 
     /// Adapts the wanted number of links to the entries' counts of agents once all links work.
     fn update_wanted(&mut self, limits: &LinkLimits, now_ms: u64) {
-        let settled = self.entries.values().filter(|entry| entry.state().is_settled(now_ms));
+        let settled = self.entries.values().filter(|entry| entry.state().is_stable(now_ms));
         let seen: Vec<_> = settled.map(|entry| entry.agents).collect();
         if seen.len() < self.wanted {
             return;
         }
         let before = self.wanted;
-        self.wanted = next_count(before, self.entries.len(), &seen, limits);
+        self.wanted = next_link_count(before, self.entries.len(), &seen, limits);
         if self.wanted != before {
             event!(Info, "links_wanted", links = self.wanted, before = before);
         }
@@ -237,9 +238,9 @@
     let links = &agent.links;
     let mut known = links.known.lock();
     known.forget_lost(&agent.settings.seeds, now_ms);
-    known.wanted = next_count(known.wanted, known.entries.len(), &[], &links.limits);
+    known.wanted = next_link_count(known.wanted, known.entries.len(), &[], &links.limits);
     let ranked = known.ranked(&agent.settings.name);
-    let LinkChoice { dial, end } = choose(&ranked, known.wanted, now_ms);
+    let LinkChoice { dial, end } = select_links(&ranked, known.wanted, now_ms);
     for address in dial {
         let Some(entry) = known.entries.get_mut(&address) else { continue };
         if let Some(kept) = &entry.kept {
--- a/crates/agent/src/tasks.rs
+++ b/crates/agent/src/tasks.rs
@@ -3,7 +3,7 @@
 use {
     crate::counters,
     std::collections::HashMap,
-    sycamorerail_decide::gate::{Gate, Settled},
+    sycamorerail_decide::gate::{Gate, SettledTask},
     sycamorerail_wire::{ids::TaskId, message::AgentReplyBody},
     tokio::{sync::oneshot, task::AbortHandle},
 };
@@ -38,7 +38,7 @@
     }
 
     /// Sends the reply to all waiters of a settled task.
-    pub(crate) fn settle(&mut self, settled: Settled) {
+    pub(crate) fn settle(&mut self, settled: SettledTask) {
         counters::task_end(&settled.reply);
         let Some(in_flight) = self.in_flight.remove(&settled.task) else {
             return;
@@ -49,7 +49,7 @@
         }
     }
 
-    pub(crate) fn settle_all(&mut self, settled: Vec<Settled>) {
+    pub(crate) fn settle_all(&mut self, settled: Vec<SettledTask>) {
         settled.into_iter().for_each(|settled| self.settle(settled));
     }
 
--- a/crates/bench/src/policy/world/mod.rs
+++ b/crates/bench/src/policy/world/mod.rs
@@ -19,7 +19,7 @@
     sycamorerail_decide::{
         dispatch::KindParameters,
         ledger::{LeaseAnswer, StartAnswer, StartOrder},
-        links::{LinkLimits, links_for, preferred},
+        links::{LinkLimits, links_per_agent, rank_entries},
     },
     sycamorerail_wire::{
         ids::Incarnation,
@@ -119,8 +119,9 @@
 /// The entries that each agent links to, by number.
 fn linked(entries: usize, agents: usize, limits: &LinkLimits) -> Vec<BTreeSet<usize>> {
     let all: Vec<_> = (0..entries).collect();
-    let count = links_for(entries, agents, limits);
-    let of = |agent: usize| preferred(&agent.to_string(), &all).into_iter().take(count).collect();
+    let count = links_per_agent(entries, agents, limits);
+    let of =
+        |agent: usize| rank_entries(&agent.to_string(), &all).into_iter().take(count).collect();
     (0..agents).map(of).collect()
 }
 
--- a/crates/decide/examples/choose_cost.rs
+++ b/crates/decide/examples/choose_cost.rs
@@ -9,8 +9,8 @@
     rand::{Rng, SeedableRng, rngs::SmallRng},
     std::{hint::black_box, sync::Arc, sync::atomic::Ordering::Relaxed, time::Instant},
     sycamorerail_decide::{
-        placement::{Ask, Policy, Spread},
-        view::{DataCentreKey, KindKey, Live, RackKey, Row, UpstreamKey, View},
+        placement::{PlacementQuery, Policy, Spread},
+        view::{DataCentreKey, KindKey, LiveState, RackKey, UpstreamKey, UpstreamRow, View},
     },
 };
 
@@ -63,7 +63,7 @@
 }
 
 fn batch_ns(policy: &Policy, view: &View, siblings: &[(RackKey, u16)], rng: &mut SmallRng) -> f64 {
-    let ask = Ask {
+    let query = PlacementQuery {
         kind: KindKey(7),
         size_bytes: 1_000_000,
         run_ms: 200,
@@ -76,7 +76,7 @@
     };
     let begin = Instant::now();
     for now_ms in 0..u64::from(CHOICES_A_BATCH) {
-        black_box((policy.choose)(black_box(view), black_box(&ask), rng, now_ms));
+        black_box((policy.choose)(black_box(view), black_box(&query), rng, now_ms));
     }
     begin.elapsed().as_nanos() as f64 / f64::from(CHOICES_A_BATCH)
 }
@@ -85,15 +85,15 @@
     View { rows: (0..ROWS).map(|key| row(key, fleet, rng)).collect() }
 }
 
-fn row(key: u32, fleet: &Fleet, rng: &mut SmallRng) -> Row {
+fn row(key: u32, fleet: &Fleet, rng: &mut SmallRng) -> UpstreamRow {
     let rack = key / ROWS_A_RACK;
-    let live = Live::default();
+    let live = LiveState::default();
     let free = rng.random_bool(fleet.free_share);
     live.slots.store(SLOTS, Relaxed);
     live.running.store(if free { rng.random_range(0..SLOTS) } else { SLOTS }, Relaxed);
     live.queued.store(if free { 0 } else { rng.random_range(0..8) }, Relaxed);
     live.mean_run_us.store(rng.random_range(50_000..1_000_000), Relaxed);
-    Row {
+    UpstreamRow {
         key: UpstreamKey(key),
         data_centre: DataCentreKey((rack % DATA_CENTRES) as u16),
         rack: RackKey(rack as u16),
--- a/crates/decide/src/echo.rs
+++ b/crates/decide/src/ack_tracker.rs
@@ -10,21 +10,21 @@
 
 /// Messages of one connection, counted from 1.
 #[derive(Clone, Debug)]
-pub struct Echo {
+pub struct AckTracker {
     sent: VecDeque<(/* message */ u64, /* sent_ms */ u64)>,
     count: u64,
-    confirmed_ms: u64,
+    acked_sent_ms: u64,
 }
 
-impl Echo {
+impl AckTracker {
     /// A connection that was made now.
     #[must_use]
     pub fn new(now_ms: u64) -> Self {
-        Self { sent: VecDeque::new(), count: 0, confirmed_ms: now_ms }
+        Self { sent: VecDeque::new(), count: 0, acked_sent_ms: now_ms }
     }
 
     /// Counts a message that is sent now; returns its number.
-    pub fn sent(&mut self, now_ms: u64) -> u64 {
+    pub fn record_sent(&mut self, now_ms: u64) -> u64 {
         self.count += 1;
         if self.sent.len() >= MAX_SENT {
             let mut keep = false;
@@ -38,16 +38,16 @@
     }
 
     /// The peer has heard so many messages.
-    pub fn heard(&mut self, count: u64) {
+    pub fn record_ack(&mut self, count: u64) {
         while let Some((_, sent_ms)) = self.sent.front().filter(|(number, _)| *number <= count) {
-            self.confirmed_ms = *sent_ms;
+            self.acked_sent_ms = *sent_ms;
             self.sent.pop_front();
         }
     }
 
     /// When the last message was sent that the peer confirmed.
     #[must_use]
-    pub fn confirmed_ms(&self) -> u64 {
-        self.confirmed_ms
+    pub fn acked_sent_ms(&self) -> u64 {
+        self.acked_sent_ms
     }
 }
--- a/crates/decide/src/admission/forecast.rs
+++ b/crates/decide/src/admission/forecast.rs
@@ -1,8 +1,8 @@
 //! How long a task would wait, from the view and from the queue's own pace.
 
 use crate::{
-    placement::Ask,
-    view::{Row, View},
+    placement::PlacementQuery,
+    view::{UpstreamRow, View},
 };
 
 /// Length of a window of [`DrainRate`], in milliseconds.
@@ -33,16 +33,17 @@
     #[must_use]
     pub fn new(
         view: &View,
-        ask: &Ask<'_>,
+        query: &PlacementQuery<'_>,
         drain_per_s: Option<f64>,
         entries: u32,
         now_ms: u64,
     ) -> Self {
-        let serves =
-            |row: &&Row| row.could_hold(ask.kind, ask.size_bytes) && row.takes_work(now_ms);
+        let serves = |row: &&UpstreamRow| {
+            row.can_serve(query.kind, query.size_bytes) && row.takes_work(now_ms)
+        };
         let mut forecast = Self::default();
         for row in view.rows.iter().filter(serves) {
-            forecast.add(row, ask);
+            forecast.add(row, query);
         }
         let entries = entries.max(1);
         forecast.queued_there = forecast.queued_there.div_ceil(entries);
@@ -50,11 +51,11 @@
         forecast
     }
 
-    fn add(&mut self, row: &Row, ask: &Ask<'_>) {
+    fn add(&mut self, row: &UpstreamRow, query: &PlacementQuery<'_>) {
         let free_slots = row.free_slots();
         self.free_slots += free_slots.max(0) as u32;
         self.queued_there += (-free_slots).max(0) as u32;
-        self.starts_per_s += row.starts_per_s(ask.run_ms as f32 * 1_000.0);
+        self.starts_per_s += row.starts_per_s(query.run_ms as f32 * 1_000.0);
     }
 
     /// Expected wait of the last of `tasks` new tasks behind `ahead` others, in
--- a/crates/decide/src/admission/limit.rs
+++ b/crates/decide/src/admission/limit.rs
@@ -90,13 +90,13 @@
     }
 
     /// Counts tasks asked for, whether they are taken or not.
-    pub fn count_asked(&self, tasks: u16) {
+    pub fn count_requested(&self, tasks: u16) {
         self.asked.fetch_add(tasks.into(), Ordering::Relaxed);
     }
 
     /// Tasks asked for since the last call, for [`crate::share`].
     #[must_use]
-    pub fn take_asked(&self) -> u32 {
+    pub fn take_requested(&self) -> u32 {
         self.asked.swap(0, Ordering::Relaxed)
     }
 
@@ -174,5 +174,5 @@
 }
 
 fn refusal(retry_after_ms: u64) -> Refusal {
-    Refusal::until(Reason::QuotaUsedUp, retry_after_ms)
+    Refusal::retry_later(Reason::QuotaUsedUp, retry_after_ms)
 }
--- a/crates/decide/src/admission/mod.rs
+++ b/crates/decide/src/admission/mod.rs
@@ -19,9 +19,9 @@
 use {
     crate::{
         dispatch::EVACUATED_RETRY_MS,
-        placement::{Ask, spread::SpreadRule},
+        placement::{PlacementQuery, spread::SpreadRule},
         queue::Backlog,
-        view::{Row, View},
+        view::{UpstreamRow, View},
     },
     forecast::Forecast,
     limit::OrganisationLimit,
@@ -53,23 +53,23 @@
 impl Refusal {
     /// A refusal; the time to come back is kept within [`RETRY_AFTER_MS`].
     #[must_use]
-    pub fn until(reason: Reason, retry_after_ms: u64) -> Self {
+    pub fn retry_later(reason: Reason, retry_after_ms: u64) -> Self {
         let (least_ms, most_ms) = RETRY_AFTER_MS;
         Self { reason, retry_after_ms: Some(retry_after_ms.clamp(least_ms, most_ms)) }
     }
 
     /// A refusal of what can't be taken later either.
     #[must_use]
-    pub fn for_good(reason: Reason) -> Self {
+    pub fn permanent(reason: Reason) -> Self {
         Self { reason, retry_after_ms: None }
     }
 }
 
 /// A submission that asks to be taken.
 #[derive(Clone, Copy, Debug)]
-pub struct Submitted<'a> {
+pub struct AdmissionRequest<'a> {
     /// What each of its tasks needs.
-    pub ask: Ask<'a>,
+    pub query: PlacementQuery<'a>,
     /// Its tasks.
     pub tasks: u16,
     /// Time left until its deadline, in milliseconds.
@@ -95,18 +95,18 @@
 ///
 /// Why it is not taken.
 pub fn admit(
-    submitted: &Submitted<'_>,
+    request: &AdmissionRequest<'_>,
     limit: &OrganisationLimit,
     view: &View,
     forecast: &Forecast,
     now_ms: u64,
 ) -> Result<(), Refusal> {
-    limit.count_asked(submitted.tasks);
-    limit.check(submitted.tasks, now_ms)?;
-    check_placeable(submitted, view, now_ms)?;
-    check_room(submitted, forecast)?;
-    check_deadline(submitted, forecast)?;
-    limit.take(submitted.tasks, now_ms)
+    limit.count_requested(request.tasks);
+    limit.check(request.tasks, now_ms)?;
+    check_placeable(request, view, now_ms)?;
+    check_room(request, forecast)?;
+    check_deadline(request, forecast)?;
+    limit.take(request.tasks, now_ms)
 }
 
 /// Whether some upstream takes work of the kind now, and if not, whether one
@@ -115,35 +115,40 @@
 /// # Errors
 ///
 /// `NoUpstream`, `Evacuated` or `NeverPlaceable`.
-pub fn check_placeable(submitted: &Submitted<'_>, view: &View, now_ms: u64) -> Result<(), Refusal> {
-    let ask = &submitted.ask;
-    let rule = SpreadRule::new(view, ask);
-    let mut could_hold = view.rows.iter().filter(|row| could_go_to(row, ask, &rule)).peekable();
-    if !view.rows.is_empty() && could_hold.peek().is_none() {
-        return Err(Refusal::for_good(Reason::NeverPlaceable));
+pub fn check_placeable(
+    request: &AdmissionRequest<'_>,
+    view: &View,
+    now_ms: u64,
+) -> Result<(), Refusal> {
+    let query = &request.query;
+    let rule = SpreadRule::new(view, query);
+    let mut can_serve = view.rows.iter().filter(|row| could_go_to(row, query, &rule)).peekable();
+    if !view.rows.is_empty() && can_serve.peek().is_none() {
+        return Err(Refusal::permanent(Reason::NeverPlaceable));
     }
-    if could_hold.any(|row| row.takes_work(now_ms)) {
+    if can_serve.any(|row| row.takes_work(now_ms)) {
         return Ok(());
     }
-    if is_evacuated(ask, view) {
-        return Err(Refusal::until(Reason::Evacuated, EVACUATED_RETRY_MS.into()));
+    if is_evacuated(query, view) {
+        return Err(Refusal::retry_later(Reason::Evacuated, EVACUATED_RETRY_MS.into()));
     }
-    Err(Refusal::until(Reason::NoUpstream, NO_UPSTREAM_RETRY_AFTER_MS))
+    Err(Refusal::retry_later(Reason::NoUpstream, NO_UPSTREAM_RETRY_AFTER_MS))
 }
 
 /// Whether some upstream could serve that is not leaving, and all of these are in
 /// evacuated data centres.
 #[must_use]
-pub fn is_evacuated(ask: &Ask<'_>, view: &View) -> bool {
-    let rule = SpreadRule::new(view, ask);
-    let stays =
-        |row: &&Row| could_go_to(row, ask, &rule) && !row.live.leaving.load(Ordering::Acquire);
+pub fn is_evacuated(query: &PlacementQuery<'_>, view: &View) -> bool {
+    let rule = SpreadRule::new(view, query);
+    let stays = |row: &&UpstreamRow| {
+        could_go_to(row, query, &rule) && !row.live.leaving.load(Ordering::Acquire)
+    };
     let mut staying = view.rows.iter().filter(stays).peekable();
     staying.peek().is_some() && staying.all(|row| row.live.evacuated.load(Ordering::Acquire))
 }
 
-fn could_go_to(row: &Row, ask: &Ask<'_>, rule: &SpreadRule<'_>) -> bool {
-    row.could_hold(ask.kind, ask.size_bytes) && !rule.forbids(row)
+fn could_go_to(row: &UpstreamRow, query: &PlacementQuery<'_>, rule: &SpreadRule<'_>) -> bool {
+    row.can_serve(query.kind, query.size_bytes) && !rule.forbids(row)
 }
 
 /// Whether the waiting queue has room for those tasks that find no slot.
@@ -151,11 +156,11 @@
 /// # Errors
 ///
 /// `Overloaded`, until the missing places are free at the queue's pace.
-pub fn check_room(submitted: &Submitted<'_>, forecast: &Forecast) -> Result<(), Refusal> {
-    let to_queue = u32::from(submitted.tasks).saturating_sub(forecast.free_slots);
-    match to_queue.saturating_sub(submitted.queue_room) {
+pub fn check_room(request: &AdmissionRequest<'_>, forecast: &Forecast) -> Result<(), Refusal> {
+    let to_queue = u32::from(request.tasks).saturating_sub(forecast.free_slots);
+    match to_queue.saturating_sub(request.queue_room) {
         0 => Ok(()),
-        missing => Err(Refusal::until(Reason::Overloaded, forecast.drain_ms(missing))),
+        missing => Err(Refusal::retry_later(Reason::Overloaded, forecast.drain_ms(missing))),
     }
 }
 
@@ -168,16 +173,16 @@
 ///
 /// `DeadlineUnreachable`, until the wait has become short enough if nothing
 /// else is taken.
-pub fn check_deadline(submitted: &Submitted<'_>, forecast: &Forecast) -> Result<(), Refusal> {
-    let ahead = submitted.backlog.tasks_ahead();
-    let forecast_ms = forecast.wait_ms(ahead, u32::from(submitted.tasks));
+pub fn check_deadline(request: &AdmissionRequest<'_>, forecast: &Forecast) -> Result<(), Refusal> {
+    let ahead = request.backlog.tasks_ahead();
+    let forecast_ms = forecast.wait_ms(ahead, u32::from(request.tasks));
     let wait_ms = forecast_ms.saturating_add(forecast_ms / WAIT_MARGIN_PART);
-    let end_ms = wait_ms.saturating_add(u64::from(submitted.least_run_ms));
-    match end_ms.saturating_sub(u64::from(submitted.deadline_ms)) {
+    let end_ms = wait_ms.saturating_add(u64::from(request.least_run_ms));
+    match end_ms.saturating_sub(u64::from(request.deadline_ms)) {
         late_ms if late_ms > 0 && wait_ms > 0 => {
             // As the forecast shrinks, its margin does.
             let shrink_ms = late_ms - late_ms / (WAIT_MARGIN_PART + 1);
-            Err(Refusal::until(Reason::DeadlineUnreachable, shrink_ms))
+            Err(Refusal::retry_later(Reason::DeadlineUnreachable, shrink_ms))
         }
         _ => Ok(()),
     }
--- a/crates/decide/src/dispatch/agents.rs
+++ b/crates/decide/src/dispatch/agents.rs
@@ -3,7 +3,7 @@
 
 use {
     super::types::AgentKey,
-    crate::echo::Echo,
+    crate::ack_tracker::AckTracker,
     std::collections::VecDeque,
     sycamorerail_wire::{
         ids::Incarnation,
@@ -67,7 +67,7 @@
     /// Time until which the upstream says that it is slow after its start.
     pub cold_until_ms: Option<u64>,
     /// Which of the entry's messages the agent has received.
-    pub echo: Echo,
+    pub acks: AckTracker,
     unreported: VecDeque<UnreportedPlacement>,
     unreported_resources: Resources,
     unreported_work_milli_ms: u64,
@@ -98,7 +98,7 @@
             load: UpstreamLoad::default(),
             earlier_runs_until_ms: None,
             cold_until_ms: None,
-            echo: Echo::new(now_ms),
+            acks: AckTracker::new(now_ms),
             unreported: VecDeque::new(),
             unreported_resources: Resources::default(),
             unreported_work_milli_ms: 0,
@@ -111,7 +111,7 @@
         self.is_disconnecting = false;
         self.connected_ms = now_ms;
         self.last_heard_ms = now_ms;
-        self.echo = Echo::new(now_ms);
+        self.acks = AckTracker::new(now_ms);
         self.load.usable = false;
         self.cold_until_ms = None;
         self.unreported.clear();
@@ -132,7 +132,7 @@
         self.is_serving()
             && self.load.usable
             && now_ms < self.last_heard_ms + suspect_ms
-            && now_ms < self.echo.confirmed_ms() + suspect_ms
+            && now_ms < self.acks.acked_sent_ms() + suspect_ms
     }
 
     /// Whether the agent is connected and has an upstream that is not evacuated.
@@ -154,7 +154,7 @@
     pub fn set_load(&mut self, load: UpstreamLoad, heard: u64, now_ms: u64) {
         self.last_heard_ms = now_ms;
         self.load = load;
-        self.echo.heard(heard);
+        self.acks.record_ack(heard);
         while let Some(first) = self.unreported.front().filter(|first| first.message <= heard) {
             self.unreported_resources = self.unreported_resources.minus(&first.room);
             self.unreported_work_milli_ms -= first.work_milli_ms;
--- a/crates/decide/src/dispatch/connections.rs
+++ b/crates/decide/src/dispatch/connections.rs
@@ -228,7 +228,7 @@
     /// Counts a message to an agent, with the tasks that it places there.
     pub fn message_sent(&mut self, key: AgentKey, placed: Option<&StepPlacement>, now_ms: u64) {
         let Some(view) = self.agents.get_mut(key) else { return };
-        let message = view.echo.sent(now_ms);
+        let message = view.acks.record_sent(now_ms);
         if let Some(placed) = placed {
             let count = u32::try_from(placed.tasks.len()).unwrap_or(u32::MAX);
             view.record_placement(message, &placed.need, count, placed.run_ms);
--- a/crates/decide/src/ejection/mod.rs
+++ b/crates/decide/src/ejection/mod.rs
@@ -25,7 +25,7 @@
 mod tally;
 
 use {
-    crate::view::{KindKey, Live, UpstreamKey},
+    crate::view::{KindKey, LiveState, UpstreamKey},
     std::{
         collections::{HashMap, HashSet},
         sync::atomic::Ordering,
@@ -66,7 +66,7 @@
 
 /// How an upstream stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Service {
+pub enum EjectionState {
     /// In full service.
     Full,
     /// Gets nothing.
@@ -88,7 +88,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Upstream {
-    service: Service,
+    state: EjectionState,
     /// Ejections in a row.
     ejections: u32,
     ejected_at_ms: u64,
@@ -97,7 +97,7 @@
 
 impl Upstream {
     fn is_out(&self) -> bool {
-        matches!(self.service, Service::Ejected { .. } | Service::Probing { .. })
+        matches!(self.state, EjectionState::Ejected { .. } | EjectionState::Probing { .. })
     }
 
     fn ejection_ms(&self) -> u64 {
@@ -118,7 +118,7 @@
     /// Takes part from now on, in full service.
     pub fn add(&mut self, key: UpstreamKey) {
         let new = Upstream {
-            service: Service::Full,
+            state: EjectionState::Full,
             ejections: 0,
             ejected_at_ms: 0,
             failures_unjudged: 0,
@@ -135,34 +135,34 @@
 
     /// How it stands; in full service if unknown.
     #[must_use]
-    pub fn service(&self, key: UpstreamKey) -> Service {
-        self.upstreams.get(&key).map_or(Service::Full, |it| it.service)
+    pub fn state(&self, key: UpstreamKey) -> EjectionState {
+        self.upstreams.get(&key).map_or(EjectionState::Full, |it| it.state)
     }
 
     /// Upstreams that are ejected or probed.
     #[must_use]
-    pub fn out(&self) -> usize {
+    pub fn ejected_count(&self) -> usize {
         self.out.len()
     }
 
     /// Takes the end of a task. Returns how the upstream stands if that
-    /// changed, to be put into its [`Live`] by [`apply`].
+    /// changed, to be put into its [`LiveState`] by [`apply`].
     pub fn observe(
         &mut self,
         key: UpstreamKey,
         kind: KindKey,
         succeeded: bool,
         now_ms: u64,
-    ) -> Option<Service> {
+    ) -> Option<EjectionState> {
         self.tally.observe(key, kind, succeeded, now_ms);
-        match self.upstreams.get(&key)?.service {
-            Service::Full if succeeded => None,
-            Service::Full => self.judge(key, now_ms),
-            Service::Returning { window } if succeeded => self.widen(key, window),
-            Service::Returning { .. } => self.eject(key, now_ms),
+        match self.upstreams.get(&key)?.state {
+            EjectionState::Full if succeeded => None,
+            EjectionState::Full => self.judge(key, now_ms),
+            EjectionState::Returning { window } if succeeded => self.widen(key, window),
+            EjectionState::Returning { .. } => self.eject(key, now_ms),
             // Tasks placed before the ejection end after it: only the probe's
-            // end counts, which `probe_ended` takes.
-            Service::Ejected { .. } | Service::Probing { .. } => None,
+            // end counts, which `record_probe_end` takes.
+            EjectionState::Ejected { .. } | EjectionState::Probing { .. } => None,
         }
     }
 
@@ -173,49 +173,51 @@
         mut could_serve: impl FnMut(UpstreamKey) -> bool,
         now_ms: u64,
     ) -> Option<UpstreamKey> {
-        let is_due = |key: &&UpstreamKey| match self.service(**key) {
-            Service::Ejected { until_ms } => until_ms <= now_ms,
-            Service::Probing { since_ms } => since_ms + PROBE_TIMEOUT_MS <= now_ms,
-            Service::Full | Service::Returning { .. } => false,
+        let is_due = |key: &&UpstreamKey| match self.state(**key) {
+            EjectionState::Ejected { until_ms } => until_ms <= now_ms,
+            EjectionState::Probing { since_ms } => since_ms + PROBE_TIMEOUT_MS <= now_ms,
+            EjectionState::Full | EjectionState::Returning { .. } => false,
         };
         let due = self.out.iter().filter(is_due).copied();
         let key = due.filter(|&key| could_serve(key)).min()?;
-        self.set(key, Service::Probing { since_ms: now_ms });
+        self.set(key, EjectionState::Probing { since_ms: now_ms });
         Some(key)
     }
 
     /// Takes the end of a probe: `None` if it says nothing of the upstream, as
     /// when the agent refused it or the caller cancelled.
-    pub fn probe_ended(
+    pub fn record_probe_end(
         &mut self,
         key: UpstreamKey,
         succeeded: Option<bool>,
         now_ms: u64,
-    ) -> Option<Service> {
-        if !matches!(self.service(key), Service::Probing { .. }) {
+    ) -> Option<EjectionState> {
+        if !matches!(self.state(key), EjectionState::Probing { .. }) {
             return None;
         }
         match succeeded {
-            Some(true) => self.set(key, Service::Returning { window: 1 }),
+            Some(true) => self.set(key, EjectionState::Returning { window: 1 }),
             Some(false) => self.eject(key, now_ms),
-            None => self.set(key, Service::Ejected { until_ms: now_ms }),
+            None => self.set(key, EjectionState::Ejected { until_ms: now_ms }),
         }
     }
 
     /// Lets those return that nobody probed: where no repeatable request comes,
     /// an upstream ejected wrongly would else never return. It does so with one
     /// task at a time, after as long a wait again.
-    pub fn return_unprobed(&mut self, now_ms: u64) -> Vec<(UpstreamKey, Service)> {
-        let waited = |key: &UpstreamKey| match self.upstreams[key].service {
-            Service::Ejected { until_ms } => until_ms + self.upstreams[key].ejection_ms() <= now_ms,
+    pub fn return_unprobed(&mut self, now_ms: u64) -> Vec<(UpstreamKey, EjectionState)> {
+        let waited = |key: &UpstreamKey| match self.upstreams[key].state {
+            EjectionState::Ejected { until_ms } => {
+                until_ms + self.upstreams[key].ejection_ms() <= now_ms
+            }
             _ => false,
         };
         let returning: Vec<_> = self.out.iter().copied().filter(waited).collect();
-        let service = Service::Returning { window: 1 };
-        returning.into_iter().filter_map(|key| Some((key, self.set(key, service)?))).collect()
+        let state = EjectionState::Returning { window: 1 };
+        returning.into_iter().filter_map(|key| Some((key, self.set(key, state)?))).collect()
     }
 
-    fn judge(&mut self, key: UpstreamKey, now_ms: u64) -> Option<Service> {
+    fn judge(&mut self, key: UpstreamKey, now_ms: u64) -> Option<EjectionState> {
         let upstream = self.upstreams.get_mut(&key)?;
         upstream.failures_unjudged += 1;
         if upstream.failures_unjudged < FAILURES_A_JUDGEMENT {
@@ -228,7 +230,7 @@
         self.eject(key, now_ms)
     }
 
-    fn eject(&mut self, key: UpstreamKey, now_ms: u64) -> Option<Service> {
+    fn eject(&mut self, key: UpstreamKey, now_ms: u64) -> Option<EjectionState> {
         let is_out = self.out.contains(&key);
         if !is_out && self.out.len() >= max_ejected(self.upstreams.len()) {
             return None;
@@ -242,24 +244,27 @@
         upstream.ejected_at_ms = now_ms;
         let until_ms = now_ms + upstream.ejection_ms();
         self.tally.remove(key);
-        self.set(key, Service::Ejected { until_ms })
+        self.set(key, EjectionState::Ejected { until_ms })
     }
 
-    fn widen(&mut self, key: UpstreamKey, window: u32) -> Option<Service> {
+    fn widen(&mut self, key: UpstreamKey, window: u32) -> Option<EjectionState> {
         let wider = window + 1;
         let is_full = wider > FULL_WINDOW;
-        self.set(key, if is_full { Service::Full } else { Service::Returning { window: wider } })
+        self.set(
+            key,
+            if is_full { EjectionState::Full } else { EjectionState::Returning { window: wider } },
+        )
     }
 
-    fn set(&mut self, key: UpstreamKey, service: Service) -> Option<Service> {
+    fn set(&mut self, key: UpstreamKey, state: EjectionState) -> Option<EjectionState> {
         let upstream = self.upstreams.get_mut(&key)?;
-        upstream.service = service;
+        upstream.state = state;
         if upstream.is_out() {
             self.out.insert(key);
         } else {
             self.out.remove(&key);
         }
-        Some(service)
+        Some(state)
     }
 }
 
@@ -270,12 +275,12 @@
 }
 
 /// Puts how an upstream stands where placement sees it.
-pub fn apply(service: Service, live: &Live) {
-    let (ejected_until_ms, return_window) = match service {
-        Service::Full => (0, 0),
+pub fn publish(state: EjectionState, live: &LiveState) {
+    let (ejected_until_ms, return_window) = match state {
+        EjectionState::Full => (0, 0),
         // It stays out beyond its time, until a probe succeeded.
-        Service::Ejected { .. } | Service::Probing { .. } => (u64::MAX, 0),
-        Service::Returning { window } => (0, window),
+        EjectionState::Ejected { .. } | EjectionState::Probing { .. } => (u64::MAX, 0),
+        EjectionState::Returning { window } => (0, window),
     };
     live.return_window.store(return_window, Ordering::Release);
     live.ejected_until_ms.store(ejected_until_ms, Ordering::Release);
--- a/crates/decide/src/estimate/mod.rs
+++ b/crates/decide/src/estimate/mod.rs
@@ -133,7 +133,7 @@
     }
 
     /// Mean run time of the tasks of all kinds at an upstream, in microseconds;
-    /// 0 while unknown, as [`crate::view::Live::mean_run_us`] has it.
+    /// 0 while unknown, as [`crate::view::LiveState::mean_run_us`] has it.
     #[must_use]
     pub fn upstream_run_us(&self, upstream: UpstreamKey) -> u64 {
         self.upstreams.get(&upstream).map_or(0, |it| it.run_us.value_or(0.0) as u64)
--- a/crates/decide/src/gate.rs
+++ b/crates/decide/src/gate.rs
@@ -3,11 +3,11 @@
 //!
 //! # Why a task starts at most once
 //!
-//! A record is made before [`Placed::Start`] is returned, and a placement of a
+//! A record is made before [`PlacementDecision::Start`] is returned, and a placement of a
 //! task with a record joins that record. A record goes away only
 //!
 //! - with the proof that the upstream was never given the task
-//!   ([`Gate::not_started`], or dropped from the queue), or
+//!   ([`Gate::record_not_started`], or dropped from the queue), or
 //! - [`Limits::retention_ms`] after its last change, when the home refuses the
 //!   job's id as expired and has forgotten it.
 //!
@@ -54,7 +54,10 @@
 pub use {
     fences::MAX_FENCED,
     record::RECORD_COST_BYTES,
-    types::{Counts, Fenced, Go, Limits, Placed, Refusal, Revoked, Settled, Start, UpstreamState},
+    types::{
+        CallPermit, Counts, FenceOutcome, Limits, PlacementDecision, PlacementRefusal,
+        RevokeOutcome, SettledTask, TaskStart, UpstreamState,
+    },
 };
 
 /// Bytes of results that one reply about several tasks may carry. Results
@@ -101,24 +104,27 @@
     }
 
     /// Decides on a placement.
-    pub fn place(&mut self, placement: Placement, now_ms: u64) -> Placed {
+    pub fn place(&mut self, placement: Placement, now_ms: u64) -> PlacementDecision {
         if placement.agent != self.agent {
-            return Placed::Refused(self.refusal(Reason::WrongIncarnation, false));
+            return PlacementDecision::Refused(self.refusal(Reason::WrongIncarnation, false));
         }
         if let Some(record) = self.store.get(&placement.task) {
-            return record.state.reply().map_or(Placed::Joined, Placed::Known);
+            return record
+                .state
+                .reply()
+                .map_or(PlacementDecision::Joined, PlacementDecision::Settled);
         }
         if let Some(refusal) = self.refuse(&placement) {
-            return Placed::Refused(refusal);
+            return PlacementDecision::Refused(refusal);
         }
         let queued = Queued::new(placement, now_ms);
         if self.has_free_slot() && self.queue.is_empty() {
-            return Placed::Start(Box::new(self.start(queued, now_ms)));
+            return PlacementDecision::Start(Box::new(self.start(queued, now_ms)));
         }
         self.enqueue(queued)
     }
 
-    fn refuse(&self, placement: &Placement) -> Option<Refusal> {
+    fn refuse(&self, placement: &Placement) -> Option<PlacementRefusal> {
         let home = placement.task.job.incarnation;
         let (reason, never) = match self.upstream {
             _ if self.fences.contains(home) => (Reason::Fenced, true),
@@ -135,8 +141,8 @@
         Some(self.refusal(reason, never))
     }
 
-    fn refusal(&self, reason: Reason, never: bool) -> Refusal {
-        Refusal { reason, never, retry_after_ms: self.retry_after_ms() }
+    fn refusal(&self, reason: Reason, never: bool) -> PlacementRefusal {
+        PlacementRefusal { reason, never, retry_after_ms: self.retry_after_ms() }
     }
 
     fn has_memory_for(&self, placement: &Placement) -> bool {
@@ -171,7 +177,7 @@
         u32::try_from(expected_ms.clamp(1, MAX_RETRY_AFTER_MS)).unwrap_or(FIRST_RETRY_AFTER_MS)
     }
 
-    fn start(&mut self, queued: Queued, now_ms: u64) -> Start {
+    fn start(&mut self, queued: Queued, now_ms: u64) -> TaskStart {
         let start = queued.into_start(now_ms);
         let state = State::Running { called: false, queued_ms: start.queued_ms };
         self.store.insert(start.placement.task, Some(Origin::of(&start.placement)), state);
@@ -179,19 +185,19 @@
         start
     }
 
-    fn enqueue(&mut self, queued: Queued) -> Placed {
+    fn enqueue(&mut self, queued: Queued) -> PlacementDecision {
         let start_by_ms = queued.start_by_ms;
         let task = queued.placement.task;
         let origin = Origin::of(&queued.placement);
         let place = self.queue.push(queued);
         self.store.insert(task, Some(origin), State::Queued(place));
-        Placed::Queued { start_by_ms }
+        PlacementDecision::Queued { start_by_ms }
     }
 
     /// The next queued task to start, if a slot is free: the lowest urgency
     /// number first, then the earliest. Queued ones whose start window passed
     /// are dropped and added to `settled`.
-    pub fn take_next(&mut self, now_ms: u64, settled: &mut Vec<Settled>) -> Option<Start> {
+    pub fn take_next(&mut self, now_ms: u64, settled: &mut Vec<SettledTask>) -> Option<TaskStart> {
         while self.has_free_slot() {
             let queued = self.queue.pop()?;
             match queued.lapsed(now_ms) {
@@ -204,7 +210,7 @@
 
     /// Drops queued tasks whose start window passed, and forgets records whose
     /// retention passed.
-    pub fn expire(&mut self, now_ms: u64) -> Vec<Settled> {
+    pub fn expire(&mut self, now_ms: u64) -> Vec<SettledTask> {
         self.store.expire(now_ms, self.limits.retention_ms);
         let lapsed = self.queue.remove_where(|queued| queued.lapsed(now_ms).is_some());
         let reason = |queued: &Queued| queued.lapsed(now_ms).unwrap_or(Reason::StartWindowPassed);
@@ -212,34 +218,38 @@
     }
 
     /// Removes the record of a task that has left the queue without a start.
-    fn drop_queued(&mut self, queued: &Queued, reason: Reason, never: bool) -> Settled {
+    fn drop_queued(&mut self, queued: &Queued, reason: Reason, never: bool) -> SettledTask {
         let task = queued.placement.task;
         self.store.remove(&task);
-        Settled { task, reply: self.refusal(reason, never).reply() }
+        SettledTask { task, reply: self.refusal(reason, never).reply() }
     }
 
-    fn drop_all_queued(&mut self, reason: Reason, never: bool) -> Vec<Settled> {
+    fn drop_all_queued(&mut self, reason: Reason, never: bool) -> Vec<SettledTask> {
         let all = self.queue.remove_where(|_| true);
         all.iter().map(|queued| self.drop_queued(queued, reason, never)).collect()
     }
 
     /// Records that the upstream is called for the task from now on.
-    pub fn go(&mut self, task: TaskId) -> Go {
+    pub fn permit_call(&mut self, task: TaskId) -> CallPermit {
         let Some(State::Running { called, .. }) = self.store.state_mut(&task) else {
-            return Go::Withdrawn;
+            return CallPermit::Revoked;
         };
-        if std::mem::replace(called, true) { Go::CalledBefore } else { Go::Call }
+        if std::mem::replace(called, true) {
+            CallPermit::AlreadyCalled
+        } else {
+            CallPermit::Granted
+        }
     }
 
     /// Records the end of a running task. `None` when it was decided before,
     /// as by a revoke.
-    pub fn ended(
+    pub fn record_end(
         &mut self,
         task: TaskId,
         end: TaskEnd,
         run_us: u64,
         now_ms: u64,
-    ) -> Option<Settled> {
+    ) -> Option<SettledTask> {
         let queued_ms = self.running_since_queue(task)?;
         self.note_run_time(run_us);
         let times = RunTimes { run_us, queued_us: queued_ms * 1000 };
@@ -247,18 +257,23 @@
     }
 
     /// Records that the end of a running task cannot be known.
-    pub fn broken(&mut self, task: TaskId, reason: Reason, now_ms: u64) -> Option<Settled> {
+    pub fn record_broken(
+        &mut self,
+        task: TaskId,
+        reason: Reason,
+        now_ms: u64,
+    ) -> Option<SettledTask> {
         self.running_since_queue(task)?;
         Some(self.finish(task, State::Broken(reason), now_ms))
     }
 
     /// Records the proof that the upstream was not given a running task. Its
     /// record goes away: the home may place it again, here or elsewhere.
-    pub fn not_started(&mut self, task: TaskId, reason: Reason) -> Option<Settled> {
+    pub fn record_not_started(&mut self, task: TaskId, reason: Reason) -> Option<SettledTask> {
         self.running_since_queue(task)?;
         self.running -= 1;
         self.store.remove(&task);
-        Some(Settled { task, reply: self.refusal(reason, false).reply() })
+        Some(SettledTask { task, reply: self.refusal(reason, false).reply() })
     }
 
     fn running_since_queue(&self, task: TaskId) -> Option<u64> {
@@ -268,12 +283,12 @@
         }
     }
 
-    fn finish(&mut self, task: TaskId, state: State, now_ms: u64) -> Settled {
+    fn finish(&mut self, task: TaskId, state: State, now_ms: u64) -> SettledTask {
         self.running -= 1;
         let reply = state.reply().unwrap_or(AgentReplyBody::Broken(Reason::ResultDropped));
         self.store.settle(task, state, now_ms);
         self.store.drop_results_beyond(self.limits.kept_result_bytes);
-        Settled { task, reply }
+        SettledTask { task, reply }
     }
 
     fn note_run_time(&mut self, run_us: u64) {
@@ -288,8 +303,8 @@
     ///
     /// A task missing from the reports could not be given a tombstone, because
     /// the memory for records is full; nothing is proved of it.
-    pub fn revoke(&mut self, tasks: &[TaskId], now_ms: u64) -> Revoked {
-        let mut revoked = Revoked::default();
+    pub fn revoke(&mut self, tasks: &[TaskId], now_ms: u64) -> RevokeOutcome {
+        let mut revoked = RevokeOutcome::default();
         // Those held first: what they free is there for tombstones of others.
         let (held, new): (Vec<TaskId>, Vec<TaskId>) =
             tasks.iter().partition(|task| self.store.get(task).is_some());
@@ -301,7 +316,7 @@
         revoked
     }
 
-    fn revoke_one(&mut self, task: TaskId, now_ms: u64, revoked: &mut Revoked) {
+    fn revoke_one(&mut self, task: TaskId, now_ms: u64, revoked: &mut RevokeOutcome) {
         match self.store.get(&task).map(|record| &record.state) {
             Some(&State::Queued(place)) => {
                 self.queue.remove(place);
@@ -321,17 +336,19 @@
             None if self.record_bytes() + RECORD_COST_BYTES > self.limits.record_bytes => return,
             None => return self.store.insert_settled(task, State::Tombstone, now_ms),
         }
-        revoked.settled.push(Settled { task, reply: self.refusal(Reason::Revoked, true).reply() });
+        revoked
+            .settled
+            .push(SettledTask { task, reply: self.refusal(Reason::Revoked, true).reply() });
     }
 
     /// Refuses all placements of a run of an entry from now on, drops those
     /// still queued, and tells what is held of the jobs asked for.
-    pub fn fence(&mut self, home: Incarnation, jobs: &[JobId]) -> Fenced {
+    pub fn fence(&mut self, home: Incarnation, jobs: &[JobId]) -> FenceOutcome {
         self.fences.insert(home);
         let dropped = self.queue.remove_where(|queued| queued.home() == home);
         let settled =
             dropped.iter().map(|queued| self.drop_queued(queued, Reason::Fenced, true)).collect();
-        Fenced { jobs: self.held(jobs), settled }
+        FenceOutcome { jobs: self.held(jobs), settled }
     }
 
     fn held(&self, jobs: &[JobId]) -> Vec<FencedJob> {
@@ -357,7 +374,7 @@
 
     /// Takes the upstream's new state. Queued tasks are dropped when it stops
     /// taking work; running ones go on.
-    pub fn set_upstream(&mut self, upstream: UpstreamState) -> Vec<Settled> {
+    pub fn set_upstream(&mut self, upstream: UpstreamState) -> Vec<SettledTask> {
         self.upstream = upstream;
         match upstream {
             UpstreamState::Serving { .. } => Vec::new(),
@@ -368,13 +385,13 @@
 
     /// Takes note of whether the upstream's data centre is evacuated. Queued tasks
     /// are dropped then; running ones go on.
-    pub fn set_evacuated(&mut self, evacuated: bool) -> Vec<Settled> {
+    pub fn set_evacuated(&mut self, evacuated: bool) -> Vec<SettledTask> {
         self.evacuated = evacuated;
         if evacuated { self.drop_all_queued(Reason::Evacuated, false) } else { Vec::new() }
     }
 
     /// Takes nothing new from now on, and drops what is queued.
-    pub fn drain(&mut self) -> Vec<Settled> {
+    pub fn drain(&mut self) -> Vec<SettledTask> {
         self.draining = true;
         self.drop_all_queued(Reason::Draining, true)
     }
--- a/crates/decide/src/gate/queue.rs
+++ b/crates/decide/src/gate/queue.rs
@@ -1,7 +1,7 @@
 //! Placements that wait for a slot.
 
 use {
-    super::Start,
+    super::TaskStart,
     std::collections::BTreeMap,
     sycamorerail_wire::{answer::Reason, ids::Incarnation, message::Placement},
 };
@@ -43,8 +43,8 @@
         self.placement.task.job.incarnation
     }
 
-    pub(super) fn into_start(self, now_ms: u64) -> Start {
-        Start {
+    pub(super) fn into_start(self, now_ms: u64) -> TaskStart {
+        TaskStart {
             end_by_ms: self.end_by_ms,
             queued_ms: now_ms.saturating_sub(self.received_ms),
             placement: self.placement,
--- a/crates/decide/src/gate/types.rs
+++ b/crates/decide/src/gate/types.rs
@@ -35,7 +35,7 @@
 
 /// A task to be started now. Its record is made already.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Start {
+pub struct TaskStart {
     /// What to start.
     pub placement: Placement,
     /// When the task must have ended.
@@ -46,9 +46,9 @@
 
 /// What becomes of a placement.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Placed {
+pub enum PlacementDecision {
     /// Start it now.
-    Start(Box<Start>),
+    Start(Box<TaskStart>),
     /// It waits for a slot.
     Queued {
         /// When it is dropped unless it has started.
@@ -57,14 +57,14 @@
     /// An earlier placement of the task is queued or running: wait for it.
     Joined,
     /// An earlier placement decided this.
-    Known(AgentReplyBody),
+    Settled(AgentReplyBody),
     /// Not taken, no record made.
-    Refused(Refusal),
+    Refused(PlacementRefusal),
 }
 
 /// Why a placement was not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Refusal {
+pub struct PlacementRefusal {
     /// Why.
     pub reason: Reason,
     /// No later placement of the task starts here either.
@@ -73,7 +73,7 @@
     pub retry_after_ms: u32,
 }
 
-impl Refusal {
+impl PlacementRefusal {
     /// The reply that tells it.
     #[must_use]
     pub fn reply(self) -> AgentReplyBody {
@@ -84,43 +84,43 @@
 
 /// A task on which everyone who waits for it must be told the reply.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Settled {
+pub struct SettledTask {
     /// The task.
     pub task: TaskId,
     /// What became of it.
     pub reply: AgentReplyBody,
 }
 
-/// Whether the upstream may be called for a task that [`Placed::Start`] or
+/// Whether the upstream may be called for a task that [`PlacementDecision::Start`] or
 /// [`Gate::take_next`](super::Gate::take_next) told to start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Go {
+pub enum CallPermit {
     /// Call it.
-    Call,
+    Granted,
     /// The task was revoked meanwhile.
-    Withdrawn,
+    Revoked,
     /// The upstream was called for it already: a broken invariant.
-    CalledBefore,
+    AlreadyCalled,
 }
 
 /// What a revoke did.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Revoked {
+pub struct RevokeOutcome {
     /// What is known of each task.
     pub reports: Vec<TaskReport>,
     /// Tasks whose waiters must be told.
-    pub settled: Vec<Settled>,
+    pub settled: Vec<SettledTask>,
     /// Tasks whose call to the upstream must be ended.
     pub aborted: Vec<TaskId>,
 }
 
 /// What a fence did.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Fenced {
+pub struct FenceOutcome {
     /// What is held of the jobs asked for.
     pub jobs: Vec<FencedJob>,
     /// Queued tasks that were dropped.
-    pub settled: Vec<Settled>,
+    pub settled: Vec<SettledTask>,
 }
 
 /// Counts for load reports and gauges.
--- a/crates/decide/src/hedge.rs
+++ b/crates/decide/src/hedge.rs
@@ -37,7 +37,7 @@
     /// Never for this request.
     Never,
     /// Look again at this time, in monotonic milliseconds.
-    At(u64),
+    RecheckAt(u64),
     /// Now, if an upstream not tried yet is free; paid for from the budget.
     Now,
 }
@@ -48,7 +48,7 @@
 /// will take. Without one, or without budget, it is looked at again after as
 /// long a time.
 #[must_use]
-pub fn hedge(
+pub fn decide_hedge(
     running: &RunningRequest,
     budget: &RetryBudget,
     has_free_slot: bool,
@@ -63,12 +63,12 @@
         return Hedge::Never;
     }
     if now_ms < slow_at_ms {
-        return Hedge::At(slow_at_ms);
+        return Hedge::RecheckAt(slow_at_ms);
     }
     if has_free_slot && budget.spend() {
         return Hedge::Now;
     }
-    Hedge::At(now_ms + slow_after_ms)
+    Hedge::RecheckAt(now_ms + slow_after_ms)
 }
 
 /// One hedge a request: the second attempt is the last that runs beside.
--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -2,9 +2,9 @@
 //! argument. Every function that depends on the present time takes `now_ms`,
 //! the process's monotonic time in milliseconds.
 
+pub mod ack_tracker;
 pub mod admission;
 pub mod dispatch;
-pub mod echo;
 pub mod ejection;
 pub mod estimate;
 pub mod fence;
--- a/crates/decide/src/links.rs
+++ b/crates/decide/src/links.rs
@@ -46,7 +46,7 @@
 
 /// Links of each agent that give every entry its agents, where their number is known.
 #[must_use]
-pub fn links_for(entries: usize, agents: usize, limits: &LinkLimits) -> usize {
+pub fn links_per_agent(entries: usize, agents: usize, limits: &LinkLimits) -> usize {
     let wanted = (entries * limits.agents_per_entry as usize).div_ceil(agents.max(1));
     bounded(wanted, entries, limits)
 }
@@ -55,7 +55,7 @@
 /// that the entries at its links have. It at most doubles at a time, as counts are low
 /// while agents start.
 #[must_use]
-pub fn next_count(wanted: usize, entries: usize, seen: &[u32], limits: &LinkLimits) -> usize {
+pub fn next_link_count(wanted: usize, entries: usize, seen: &[u32], limits: &LinkLimits) -> usize {
     let wanted = bounded(wanted, entries, limits);
     let least = limits.agents_per_entry as usize;
     let sum = seen.iter().map(|agents| *agents as usize).sum::<usize>();
@@ -81,7 +81,7 @@
 /// The entries in an agent's order of preference: the same whenever it is asked, and
 /// another one for each agent.
 #[must_use]
-pub fn preferred<E: Copy + ToString>(agent: &str, entries: &[E]) -> Vec<E> {
+pub fn rank_entries<E: Copy + ToString>(agent: &str, entries: &[E]) -> Vec<E> {
     let mut ranked = entries.to_vec();
     ranked.sort_by_cached_key(|entry| Reverse(weight(agent, &entry.to_string())));
     ranked
@@ -93,20 +93,20 @@
     /// It is dialled, or connected and not being ended.
     pub is_kept: bool,
     /// Since when there is a connection.
-    pub connected_ms: Option<u64>,
+    pub connected_since_ms: Option<u64>,
     /// Since when it cannot be reached although it is dialled.
-    pub failing_ms: Option<u64>,
+    pub failing_since_ms: Option<u64>,
 }
 
 impl LinkState {
     fn is_replaced(&self, now_ms: u64) -> bool {
-        self.failing_ms.is_some_and(|since_ms| now_ms >= since_ms + REPLACED_AFTER_MS)
+        self.failing_since_ms.is_some_and(|since_ms| now_ms >= since_ms + REPLACED_AFTER_MS)
     }
 
     /// Whether it has worked for a while.
     #[must_use]
-    pub fn is_settled(&self, now_ms: u64) -> bool {
-        self.connected_ms.is_some_and(|since_ms| now_ms >= since_ms + SETTLED_MS)
+    pub fn is_stable(&self, now_ms: u64) -> bool {
+        self.connected_since_ms.is_some_and(|since_ms| now_ms >= since_ms + SETTLED_MS)
     }
 }
 
@@ -124,7 +124,11 @@
 /// The first `wanted` that can be reached are kept, and those before them that cannot are
 /// dialled on. Others are let go once all that are wanted work.
 #[must_use]
-pub fn choose<E: Copy>(ranked: &[(E, LinkState)], wanted: usize, now_ms: u64) -> LinkChoice<E> {
+pub fn select_links<E: Copy>(
+    ranked: &[(E, LinkState)],
+    wanted: usize,
+    now_ms: u64,
+) -> LinkChoice<E> {
     let mut reachable = 0;
     let mut looked_at = 0;
     for (_, state) in ranked.iter().take(wanted * LOOKED_AT) {
@@ -137,7 +141,7 @@
     let (first, others) = ranked.split_at(looked_at);
     let is_wanted = |(_, state): &&(E, LinkState)| !state.is_kept;
     let dial = first.iter().filter(is_wanted).map(|(entry, _)| *entry).collect();
-    let works = |(_, state): &&(E, LinkState)| state.is_kept && state.is_settled(now_ms);
+    let works = |(_, state): &&(E, LinkState)| state.is_kept && state.is_stable(now_ms);
     let works = first.iter().filter(works).count();
     let end = if works < wanted.min(ranked.len()) {
         Vec::new()
--- a/crates/decide/src/placement/candidate.rs
+++ b/crates/decide/src/placement/candidate.rs
@@ -2,10 +2,10 @@
 
 use {
     super::{
-        Ask, Choice,
-        spread::{SpreadRule, Standing},
+        Choice, PlacementQuery,
+        spread::{SpreadRank, SpreadRule},
     },
-    crate::view::{Row, UpstreamKey, View},
+    crate::view::{UpstreamKey, UpstreamRow, View},
 };
 
 /// Longest time until a waiting task asks again, in milliseconds.
@@ -28,7 +28,7 @@
     pub(super) key: UpstreamKey,
     /// Expected wait for a slot there, in microseconds.
     wait_us: f32,
-    standing: Standing,
+    rank: SpreadRank,
     free_slots: i64,
 }
 
@@ -38,25 +38,25 @@
         if self.wait_us != other.wait_us {
             return self.wait_us < other.wait_us;
         }
-        if self.standing != other.standing {
-            return self.standing < other.standing;
+        if self.rank != other.rank {
+            return self.rank < other.rank;
         }
         self.free_slots > other.free_slots
     }
 
     fn is_settling(&self) -> bool {
-        self.free_slots > 0 && self.standing == Standing::Preferred
+        self.free_slots > 0 && self.rank == SpreadRank::Preferred
     }
 
     fn is_waiting(&self) -> bool {
-        self.free_slots <= 0 && self.standing < Standing::OverShare
+        self.free_slots <= 0 && self.rank < SpreadRank::OverShare
     }
 }
 
 /// What was seen of the rows for one task.
 #[derive(Debug)]
 pub(super) struct Survey<'a> {
-    ask: &'a Ask<'a>,
+    query: &'a PlacementQuery<'a>,
     rule: SpreadRule<'a>,
     now_ms: u64,
     best: Option<Candidate>,
@@ -68,28 +68,28 @@
 }
 
 impl<'a> Survey<'a> {
-    pub(super) fn new(view: &'a View, ask: &'a Ask<'a>, now_ms: u64) -> Self {
+    pub(super) fn new(view: &'a View, query: &'a PlacementQuery<'a>, now_ms: u64) -> Self {
         Self {
-            ask,
-            rule: SpreadRule::new(view, ask),
+            query,
+            rule: SpreadRule::new(view, query),
             now_ms,
             best: None,
             best_over_share: None,
             settling: 0,
             waiting: 0,
-            full_slots: -i64::from(ask.max_queued),
+            full_slots: -i64::from(query.max_queued),
         }
     }
 
     /// The row as a candidate, if it has room and stands best by the spread.
-    pub(super) fn preferred(&self, row: &Row) -> Option<Candidate> {
-        self.candidate(row).filter(|it| it.standing == Standing::Preferred)
+    pub(super) fn preferred(&self, row: &UpstreamRow) -> Option<Candidate> {
+        self.candidate(row).filter(|it| it.rank == SpreadRank::Preferred)
     }
 
     /// Looks at a row and keeps the best. Returns whether to go on looking.
-    pub(super) fn consider(&mut self, row: &Row) -> bool {
+    pub(super) fn consider(&mut self, row: &UpstreamRow) -> bool {
         let Some(candidate) = self.candidate(row) else { return true };
-        let is_over = candidate.standing == Standing::OverShare;
+        let is_over = candidate.rank == SpreadRank::OverShare;
         let best = if is_over { &mut self.best_over_share } else { &mut self.best };
         if best.is_none_or(|best| candidate.is_better_than(&best)) {
             *best = Some(candidate);
@@ -119,31 +119,31 @@
     }
 
     /// Most rows of a loaded fleet have no room: that is looked at first.
-    fn candidate(&self, row: &Row) -> Option<Candidate> {
+    fn candidate(&self, row: &UpstreamRow) -> Option<Candidate> {
         let free_slots = row.free_slots();
         if free_slots <= self.full_slots || !self.is_allowed(row) {
             return None;
         }
         let wait_us = row.expected_wait_us(self.run_hint_us());
-        let standing = self.rule.standing(row);
-        wait_us.is_finite().then_some(Candidate { key: row.key, wait_us, standing, free_slots })
+        let rank = self.rule.rank(row);
+        wait_us.is_finite().then_some(Candidate { key: row.key, wait_us, rank, free_slots })
     }
 
     fn run_hint_us(&self) -> f32 {
-        self.ask.run_ms as f32 * 1_000.0
+        self.query.run_ms as f32 * 1_000.0
     }
 
     /// Whether the task may go there, now or once there is room.
-    fn is_allowed(&self, row: &Row) -> bool {
-        row.takes_work(self.now_ms) && self.could_go_to(row) && !self.ask.tried.contains(&row.key)
+    fn is_allowed(&self, row: &UpstreamRow) -> bool {
+        row.takes_work(self.now_ms) && self.could_go_to(row) && !self.query.tried.contains(&row.key)
     }
 
-    fn could_go_to(&self, row: &Row) -> bool {
-        row.could_hold(self.ask.kind, self.ask.size_bytes) && !self.rule.forbids(row)
+    fn could_go_to(&self, row: &UpstreamRow) -> bool {
+        row.can_serve(self.query.kind, self.query.size_bytes) && !self.rule.forbids(row)
     }
 
     fn serves_below_share(&self, view: &View) -> bool {
-        let is_below = |row: &Row| self.rule.standing(row) < Standing::OverShare;
+        let is_below = |row: &UpstreamRow| self.rule.rank(row) < SpreadRank::OverShare;
         view.rows.iter().any(|row| self.is_allowed(row) && is_below(row))
     }
 
--- a/crates/decide/src/placement/late_binding.rs
+++ b/crates/decide/src/placement/late_binding.rs
@@ -1,7 +1,7 @@
 //! Late binding: a task stays at the entry until a slot is free.
 
 use {
-    super::{Ask, Choice, least_wait},
+    super::{Choice, PlacementQuery, least_wait},
     crate::view::View,
     rand::RngCore,
 };
@@ -14,6 +14,11 @@
 /// waits for it. The price is the round trip from the freed slot to the entry
 /// and back. Entries share upstreams without asking each other, so two may fill
 /// the same last slot: the agent then queues the second shortly or refuses it.
-pub fn late_binding(view: &View, ask: &Ask<'_>, rng: &mut dyn RngCore, now_ms: u64) -> Choice {
-    least_wait(view, &Ask { max_queued: 0, ..*ask }, rng, now_ms)
+pub fn late_binding(
+    view: &View,
+    query: &PlacementQuery<'_>,
+    rng: &mut dyn RngCore,
+    now_ms: u64,
+) -> Choice {
+    least_wait(view, &PlacementQuery { max_queued: 0, ..*query }, rng, now_ms)
 }
--- a/crates/decide/src/placement/least_wait.rs
+++ b/crates/decide/src/placement/least_wait.rs
@@ -1,7 +1,7 @@
 //! Least expected wait on the view.
 
 use {
-    super::{Ask, Choice, candidate::Survey, walk::Walk},
+    super::{Choice, PlacementQuery, candidate::Survey, walk::Walk},
     crate::view::View,
     rand::RngCore,
 };
@@ -13,8 +13,13 @@
 /// Rows are looked at in a random order until a few free ones are met, so that
 /// the cost falls with the share of free upstreams; all are looked at when
 /// hardly any is free.
-pub fn least_wait(view: &View, ask: &Ask<'_>, rng: &mut dyn RngCore, now_ms: u64) -> Choice {
-    let mut survey = Survey::new(view, ask, now_ms);
+pub fn least_wait(
+    view: &View,
+    query: &PlacementQuery<'_>,
+    rng: &mut dyn RngCore,
+    now_ms: u64,
+) -> Choice {
+    let mut survey = Survey::new(view, query, now_ms);
     for row in Walk::new(&view.rows, rng) {
         if !survey.consider(row) {
             break;
--- a/crates/decide/src/placement/mod.rs
+++ b/crates/decide/src/placement/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! All policies keep the same rules: never an upstream that is leaving,
 //! ejected, already tried, too small, of another kind or beyond
-//! [`Ask::max_queued`]; and the spread of [`spread`]. They differ in the choice
+//! [`PlacementQuery::max_queued`]; and the spread of [`spread`]. They differ in the choice
 //! among the rest.
 
 mod candidate;
@@ -30,13 +30,13 @@
     Even,
     /// In the entry's own data centre while it has room.
     Local,
-    /// Not in these data centres' places; see [`Ask::avoid`].
+    /// Not in these data centres' places; see [`PlacementQuery::avoid`].
     Avoid,
 }
 
 /// What a task needs.
 #[derive(Clone, Copy, Debug)]
-pub struct Ask<'a> {
+pub struct PlacementQuery<'a> {
     /// Its kind.
     pub kind: KindKey,
     /// Declared size in bytes, corrected by observation.
@@ -73,14 +73,15 @@
 }
 
 /// The function of a policy.
-pub type Choose = dyn Fn(&View, &Ask<'_>, &mut dyn RngCore, u64) -> Choice + Send + Sync;
+pub type ChooseFn =
+    dyn Fn(&View, &PlacementQuery<'_>, &mut dyn RngCore, u64) -> Choice + Send + Sync;
 
 /// A way of choosing, by name.
 pub struct Policy {
     /// The name in settings, reports and counters.
     pub name: &'static str,
     /// Chooses for one task; the last argument is `now_ms`.
-    pub choose: Box<Choose>,
+    pub choose: Box<ChooseFn>,
 }
 
 impl fmt::Debug for Policy {
--- a/crates/decide/src/placement/random.rs
+++ b/crates/decide/src/placement/random.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        Ask, Choice,
+        Choice, PlacementQuery,
         candidate::{Candidate, Survey},
         least_wait,
         walk::any_row,
@@ -17,11 +17,16 @@
 /// Chooses any upstream with room, each with the same chance.
 ///
 /// Where hardly any has room, it falls back on looking at all.
-pub fn random(view: &View, ask: &Ask<'_>, rng: &mut dyn RngCore, now_ms: u64) -> Choice {
-    let survey = Survey::new(view, ask, now_ms);
+pub fn random(
+    view: &View,
+    query: &PlacementQuery<'_>,
+    rng: &mut dyn RngCore,
+    now_ms: u64,
+) -> Choice {
+    let survey = Survey::new(view, query, now_ms);
     match draw(view, &survey, rng) {
         Some(candidate) => Choice::Place(candidate.key),
-        None => least_wait(view, ask, rng, now_ms),
+        None => least_wait(view, query, rng, now_ms),
     }
 }
 
--- a/crates/decide/src/placement/spread.rs
+++ b/crates/decide/src/placement/spread.rs
@@ -13,8 +13,8 @@
 //! A job's first task and a single request have no siblings, and no bound.
 
 use {
-    super::{Ask, Spread},
-    crate::view::{DataCentreKey, RackKey, Row, View},
+    super::{PlacementQuery, Spread},
+    crate::view::{DataCentreKey, RackKey, UpstreamRow, View},
     std::cell::OnceCell,
 };
 
@@ -26,7 +26,7 @@
 
 /// How a row stands by the rule of spread.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Standing {
+pub enum SpreadRank {
     /// As good as any.
     Preferred,
     /// Allowed; taken where no preferred row is free.
@@ -51,39 +51,39 @@
         /// The rows.
         view: &'a View,
         /// The task, with its siblings.
-        ask: &'a Ask<'a>,
+        query: &'a PlacementQuery<'a>,
         /// The counts, once asked for.
-        places: OnceCell<Places>,
+        counts: OnceCell<DomainCounts>,
     },
 }
 
 impl<'a> SpreadRule<'a> {
     /// The rule for a task that asks.
     #[must_use]
-    pub fn new(view: &'a View, ask: &'a Ask<'a>) -> Self {
-        match ask.spread {
-            Spread::Local => Self::Local(ask.local),
-            Spread::Avoid => Self::Avoid(ask.avoid),
-            Spread::Even if ask.siblings.is_empty() => Self::Any,
-            Spread::Even => Self::Shares { view, ask, places: OnceCell::new() },
+    pub fn new(view: &'a View, query: &'a PlacementQuery<'a>) -> Self {
+        match query.spread {
+            Spread::Local => Self::Local(query.local),
+            Spread::Avoid => Self::Avoid(query.avoid),
+            Spread::Even if query.siblings.is_empty() => Self::Any,
+            Spread::Even => Self::Shares { view, query, counts: OnceCell::new() },
         }
     }
 
     /// Whether the task may go there at all.
     #[must_use]
-    pub fn forbids(&self, row: &Row) -> bool {
+    pub fn forbids(&self, row: &UpstreamRow) -> bool {
         matches!(self, Self::Avoid(avoid) if avoid.contains(&row.data_centre))
     }
 
     /// How a row stands that is not forbidden.
     #[must_use]
-    pub fn standing(&self, row: &Row) -> Standing {
+    pub fn rank(&self, row: &UpstreamRow) -> SpreadRank {
         match self {
-            Self::Any | Self::Avoid(_) => Standing::Preferred,
-            Self::Local(local) if row.data_centre == *local => Standing::Preferred,
-            Self::Local(_) => Standing::Allowed,
-            Self::Shares { view, ask, places } => {
-                places.get_or_init(|| Places::count(view, ask)).standing(row.rack)
+            Self::Any | Self::Avoid(_) => SpreadRank::Preferred,
+            Self::Local(local) if row.data_centre == *local => SpreadRank::Preferred,
+            Self::Local(_) => SpreadRank::Allowed,
+            Self::Shares { view, query, counts } => {
+                counts.get_or_init(|| DomainCounts::count(view, query)).rank(row.rack)
             }
         }
     }
@@ -91,25 +91,25 @@
 
 /// A place's part of some tasks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Share {
+pub struct FairShare {
     /// The tasks to share out.
     pub tasks: u32,
     /// Places that share them.
-    pub places: u32,
+    pub domains: u32,
     /// Upstreams in this place.
-    pub rows_here: u32,
+    pub domain_rows: u32,
     /// Upstreams in all places.
     pub rows: u32,
 }
 
-impl Share {
+impl FairShare {
     /// Most tasks that this place may hold: one and a half fair shares, rounded
     /// up, where the fair share is an equal part or the part of the upstreams.
     #[must_use]
     pub fn bound(&self) -> u32 {
         let tasks = BOUND_HALVES * u64::from(self.tasks);
-        let equal = tasks.div_ceil(2 * u64::from(self.places));
-        let by_rows = (tasks * u64::from(self.rows_here)).div_ceil(2 * u64::from(self.rows));
+        let equal = tasks.div_ceil(2 * u64::from(self.domains));
+        let by_rows = (tasks * u64::from(self.domain_rows)).div_ceil(2 * u64::from(self.rows));
         equal.max(by_rows) as u32
     }
 
@@ -118,8 +118,8 @@
     fn is_reached(&self, placed: u32, halves: u64) -> bool {
         let placed = 2 * u64::from(placed);
         let tasks = halves * u64::from(self.tasks);
-        placed * u64::from(self.places) >= tasks
-            && placed * u64::from(self.rows) >= tasks * u64::from(self.rows_here)
+        placed * u64::from(self.domains) >= tasks
+            && placed * u64::from(self.rows) >= tasks * u64::from(self.domain_rows)
     }
 }
 
@@ -141,27 +141,27 @@
 
 /// Rows and siblings by data centre and rack, indexed by their keys.
 #[derive(Debug)]
-pub struct Places {
+pub struct DomainCounts {
     data_centres: Vec<DataCentre>,
     racks: Vec<Rack>,
     rows: u32,
     placed: u32,
 }
 
-impl Places {
-    fn count(view: &View, ask: &Ask<'_>) -> Self {
-        let placed = ask.siblings.iter().map(|&(_, tasks)| u32::from(tasks)).sum();
+impl DomainCounts {
+    fn count(view: &View, query: &PlacementQuery<'_>) -> Self {
+        let placed = query.siblings.iter().map(|&(_, tasks)| u32::from(tasks)).sum();
         let racks = view.rows.iter().map(|row| usize::from(row.rack.0) + 1).max().unwrap_or(0);
         let racks = vec![Rack::default(); racks];
-        let mut places = Self { data_centres: vec![], racks, rows: 0, placed };
-        for row in view.rows.iter().filter(|row| row.could_hold(ask.kind, ask.size_bytes)) {
-            let rack = &mut places.racks[usize::from(row.rack.0)];
+        let mut counts = Self { data_centres: vec![], racks, rows: 0, placed };
+        for row in view.rows.iter().filter(|row| row.can_serve(query.kind, query.size_bytes)) {
+            let rack = &mut counts.racks[usize::from(row.rack.0)];
             rack.data_centre = row.data_centre;
             rack.rows += 1;
         }
-        places.add_siblings(ask.siblings);
-        places.sum_up();
-        places
+        counts.add_siblings(query.siblings);
+        counts.sum_up();
+        counts
     }
 
     /// Siblings in a rack that is gone count for the job, and for no place.
@@ -181,32 +181,32 @@
             data_centre.placed += rack.placed;
             self.rows += rack.rows;
         }
-        let places = self.data_centres.iter().filter(|it| it.rows > 0).count() as u32;
+        let domains = self.data_centres.iter().filter(|it| it.rows > 0).count() as u32;
         let (tasks, rows) = (self.placed + 1, self.rows);
         for it in self.data_centres.iter_mut().filter(|it| it.rows > 0) {
-            let share = Share { tasks, places, rows_here: it.rows, rows };
+            let share = FairShare { tasks, domains, domain_rows: it.rows, rows };
             it.bound = share.bound();
             it.is_at_fair_share = share.is_reached(it.placed, FAIR_HALVES);
         }
     }
 
-    fn standing(&self, rack: RackKey) -> Standing {
+    fn rank(&self, rack: RackKey) -> SpreadRank {
         let Some(rack) = self.racks.get(usize::from(rack.0)).filter(|rack| rack.rows > 0) else {
-            return Standing::Allowed;
+            return SpreadRank::Allowed;
         };
         let data_centre = &self.data_centres[usize::from(rack.data_centre.0)];
-        let (places, rows) = (data_centre.racks, data_centre.rows);
-        let share = |tasks| Share { tasks, places, rows_here: rack.rows, rows };
+        let (domains, rows) = (data_centre.racks, data_centre.rows);
+        let share = |tasks| FairShare { tasks, domains, domain_rows: rack.rows, rows };
         if data_centre.placed >= data_centre.bound
             || share(data_centre.bound).is_reached(rack.placed, BOUND_HALVES)
         {
-            Standing::OverShare
+            SpreadRank::OverShare
         } else if data_centre.is_at_fair_share
             || share(data_centre.placed + 1).is_reached(rack.placed, FAIR_HALVES)
         {
-            Standing::Allowed
+            SpreadRank::Allowed
         } else {
-            Standing::Preferred
+            SpreadRank::Preferred
         }
     }
 }
--- a/crates/decide/src/placement/walk.rs
+++ b/crates/decide/src/placement/walk.rs
@@ -1,6 +1,6 @@
 //! Walking all rows once, in an order that differs from choice to choice.
 
-use {crate::view::Row, rand::RngCore};
+use {crate::view::UpstreamRow, rand::RngCore};
 
 /// Larger than any number of rows, so that each is coprime to it and a walk by
 /// one of them modulo the number of rows meets every row once.
@@ -13,14 +13,14 @@
 /// one rack, which a stride larger than 1 parts.
 #[derive(Debug)]
 pub(super) struct Walk<'a> {
-    rows: &'a [Row],
+    rows: &'a [UpstreamRow],
     next: usize,
     stride: usize,
     left: usize,
 }
 
 impl<'a> Walk<'a> {
-    pub(super) fn new(rows: &'a [Row], rng: &mut dyn RngCore) -> Self {
+    pub(super) fn new(rows: &'a [UpstreamRow], rng: &mut dyn RngCore) -> Self {
         let count = rows.len().max(1);
         let random = rng.next_u64();
         let stride = STRIDES[(random & 7) as usize] % count;
@@ -29,9 +29,9 @@
 }
 
 impl<'a> Iterator for Walk<'a> {
-    type Item = &'a Row;
+    type Item = &'a UpstreamRow;
 
-    fn next(&mut self) -> Option<&'a Row> {
+    fn next(&mut self) -> Option<&'a UpstreamRow> {
         self.left = self.left.checked_sub(1)?;
         let row = &self.rows[self.next];
         self.next += self.stride;
@@ -43,7 +43,10 @@
 }
 
 /// One of the rows at random; `None` without rows.
-pub(super) fn any_row<'a>(rows: &'a [Row], rng: &mut dyn RngCore) -> Option<&'a Row> {
+pub(super) fn any_row<'a>(
+    rows: &'a [UpstreamRow],
+    rng: &mut dyn RngCore,
+) -> Option<&'a UpstreamRow> {
     rows.get(index_below(rows.len(), rng.next_u32()))
 }
 
--- a/crates/decide/src/queue.rs
+++ b/crates/decide/src/queue.rs
@@ -37,7 +37,7 @@
 
 /// Where a waiting task stands in the order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Rank {
+pub struct SchedulingParams {
     /// Whose it is.
     pub organisation: OrganisationKey,
     /// Its kind.
@@ -77,7 +77,7 @@
 
 #[derive(Debug)]
 struct Waiting<T> {
-    rank: Rank,
+    params: SchedulingParams,
     sequence: u64,
     item: T,
 }
@@ -163,16 +163,16 @@
 
     /// Adds a task behind the organisation's others; gives it back if the
     /// organisation has no room.
-    pub fn push(&mut self, rank: Rank, item: T) -> Result<WaitingKey, T> {
-        if self.room_for(rank.organisation) == 0 {
+    pub fn push(&mut self, params: SchedulingParams, item: T) -> Result<WaitingKey, T> {
+        if self.room_for(params.organisation) == 0 {
             return Err(item);
         }
         let sequence = self.next_sequence;
         self.next_sequence += 1;
-        let key = self.items.insert(Waiting { rank, sequence, item });
-        self.expiries.insert((rank.latest_start_ms, key));
-        *self.held.entry(rank.organisation).or_default() += 1;
-        self.classes.entry(rank.urgency).or_default().push(&rank, sequence, key);
+        let key = self.items.insert(Waiting { params, sequence, item });
+        self.expiries.insert((params.latest_start_ms, key));
+        *self.held.entry(params.organisation).or_default() += 1;
+        self.classes.entry(params.urgency).or_default().push(&params, sequence, key);
         Ok(key)
     }
 
@@ -180,18 +180,18 @@
     ///
     /// `place` is asked for the first task of each kind of each organisation,
     /// at most `max_tries` times; it decides and, if it says yes, has placed.
-    pub fn take(
+    pub fn take_first(
         &mut self,
         max_tries: usize,
-        mut place: impl FnMut(&Rank, &T) -> bool,
-    ) -> Option<(Rank, T)> {
+        mut place: impl FnMut(&SchedulingParams, &T) -> bool,
+    ) -> Option<(SchedulingParams, T)> {
         let key = self.heads().take(max_tries).find(|&key| {
-            let Waiting { rank, item, .. } = &self.items[key];
-            place(rank, item)
+            let Waiting { params, item, .. } = &self.items[key];
+            place(params, item)
         })?;
-        let rank = self.items[key].rank;
-        if let Some(class) = self.classes.get_mut(&rank.urgency) {
-            class.charge(&rank);
+        let params = self.items[key].params;
+        if let Some(class) = self.classes.get_mut(&params.urgency) {
+            class.charge(&params);
         }
         self.remove(key)
     }
@@ -202,24 +202,24 @@
 
     /// Takes a task out, because it was cancelled. It costs its organisation
     /// nothing.
-    pub fn remove(&mut self, key: WaitingKey) -> Option<(Rank, T)> {
-        let Waiting { rank, sequence, item } = self.items.remove(key)?;
-        self.expiries.remove(&(rank.latest_start_ms, key));
-        if let Some(held) = self.held.get_mut(&rank.organisation) {
+    pub fn remove(&mut self, key: WaitingKey) -> Option<(SchedulingParams, T)> {
+        let Waiting { params, sequence, item } = self.items.remove(key)?;
+        self.expiries.remove(&(params.latest_start_ms, key));
+        if let Some(held) = self.held.get_mut(&params.organisation) {
             *held -= 1;
             if *held == 0 {
-                self.held.remove(&rank.organisation);
+                self.held.remove(&params.organisation);
             }
         }
-        if let Some(class) = self.classes.get_mut(&rank.urgency) {
-            class.forget(&rank, sequence);
+        if let Some(class) = self.classes.get_mut(&params.urgency) {
+            class.forget(&params, sequence);
         }
-        Some((rank, item))
+        Some((params, item))
     }
 
     /// Takes out a task that can no longer meet its deadline, to be refused.
     /// Call it until it returns `None`.
-    pub fn take_late(&mut self, now_ms: u64) -> Option<(Rank, T)> {
+    pub fn take_expired(&mut self, now_ms: u64) -> Option<(SchedulingParams, T)> {
         let &(latest_start_ms, key) = self.expiries.first()?;
         if latest_start_ms >= now_ms {
             return None;
@@ -229,20 +229,20 @@
 
     /// When the next task becomes late, in monotonic milliseconds.
     #[must_use]
-    pub fn next_late_ms(&self) -> Option<u64> {
+    pub fn next_expiry_ms(&self) -> Option<u64> {
         self.expiries.first().map(|(latest_start_ms, _)| latest_start_ms + 1)
     }
 }
 
 impl Class {
-    fn push(&mut self, rank: &Rank, sequence: u64, key: WaitingKey) {
-        let flow = self.flows.entry(rank.organisation).or_default();
+    fn push(&mut self, params: &SchedulingParams, sequence: u64, key: WaitingKey) {
+        let flow = self.flows.entry(params.organisation).or_default();
         if flow.tasks == 0 {
-            self.resting.remove(&(flow.tag, rank.organisation));
+            self.resting.remove(&(flow.tag, params.organisation));
             flow.tag = flow.tag.max(self.virtual_now);
-            self.active.insert((flow.tag, rank.organisation));
+            self.active.insert((flow.tag, params.organisation));
         }
-        flow.push(rank.kind, sequence, key);
+        flow.push(params.kind, sequence, key);
         self.tasks += 1;
     }
 
@@ -252,22 +252,22 @@
     }
 
     /// Moves the virtual time to the task served, and its flow behind it.
-    fn charge(&mut self, rank: &Rank) {
-        let Some(flow) = self.flows.get_mut(&rank.organisation) else { return };
-        let cost = u64::from(rank.cost_ms.max(1)) * TAG_SCALE / u64::from(rank.weight.max(1));
-        self.active.remove(&(flow.tag, rank.organisation));
+    fn charge(&mut self, params: &SchedulingParams) {
+        let Some(flow) = self.flows.get_mut(&params.organisation) else { return };
+        let cost = u64::from(params.cost_ms.max(1)) * TAG_SCALE / u64::from(params.weight.max(1));
+        self.active.remove(&(flow.tag, params.organisation));
         self.virtual_now = self.virtual_now.max(flow.tag);
         flow.tag += cost.max(1);
-        self.active.insert((flow.tag, rank.organisation));
+        self.active.insert((flow.tag, params.organisation));
     }
 
     /// Counts a task that was taken out.
-    fn forget(&mut self, rank: &Rank, sequence: u64) {
-        let Some(flow) = self.flows.get_mut(&rank.organisation) else { return };
-        flow.remove(rank.kind, sequence);
+    fn forget(&mut self, params: &SchedulingParams, sequence: u64) {
+        let Some(flow) = self.flows.get_mut(&params.organisation) else { return };
+        flow.remove(params.kind, sequence);
         self.tasks -= 1;
         if flow.tasks == 0 {
-            let place = (flow.tag, rank.organisation);
+            let place = (flow.tag, params.organisation);
             self.active.remove(&place);
             self.resting.insert(place);
         }
--- a/crates/decide/src/share.rs
+++ b/crates/decide/src/share.rs
@@ -18,7 +18,7 @@
 //!
 //! A report names what has changed since the one that the other entry holds.
 //! A large change is told at the end of its window, others are gathered for
-//! [`REFRESH_MS`]: every entry tells every other one, so that a report of all
+//! [`REFRESH_INTERVAL_MS`]: every entry tells every other one, so that a report of all
 //! organisations a second would be most of the control traffic.
 //!
 //! Ruled out: a message a request to an owner of the quota (a round trip, and
@@ -36,12 +36,12 @@
 };
 
 /// A report older than this counts as not heard, in milliseconds: two that
-/// come every [`REFRESH_MS`] may be lost.
-pub const FRESH_MS: u64 = 12_000;
+/// come every [`REFRESH_INTERVAL_MS`] may be lost.
+pub const REPORT_VALID_MS: u64 = 12_000;
 
 /// How long small changes are gathered, and how often an entry is told that
 /// there is no change, in milliseconds.
-pub const REFRESH_MS: u64 = 5_000;
+pub const REFRESH_INTERVAL_MS: u64 = 5_000;
 
 /// A demand changed by this factor is told at the end of the window.
 const LARGE_CHANGE: f64 = 1.5;
@@ -99,7 +99,7 @@
 
 /// What one entry knows of the demand at all of them.
 #[derive(Clone, Debug)]
-pub struct Shares {
+pub struct QuotaShares {
     own: Incarnation,
     /// Smoothed demand of this entry, a second.
     demand_per_s: HashMap<OrganisationKey, f64>,
@@ -110,7 +110,7 @@
     heard: HashMap<Incarnation, Heard>,
 }
 
-impl Shares {
+impl QuotaShares {
     /// Nothing is heard yet.
     #[must_use]
     pub fn new(own: Incarnation) -> Self {
@@ -134,7 +134,7 @@
         now_ms: u64,
     ) -> u64 {
         self.smooth(asked, window_ms);
-        let refresh = now_ms >= self.refreshed_at_ms + REFRESH_MS;
+        let refresh = now_ms >= self.refreshed_at_ms + REFRESH_INTERVAL_MS;
         if refresh {
             self.refreshed_at_ms = now_ms;
         }
@@ -143,7 +143,7 @@
             self.told.insert(organisation, Told { starts_per_s, number: next });
             self.number = next;
         }
-        self.hear(&self.report(0), now_ms);
+        self.receive_report(&self.report(0), now_ms);
         self.number
     }
 
@@ -183,8 +183,8 @@
 
     /// Takes an entry's report; `false` if it gives the changes to one that is
     /// not held, so that all must be told.
-    pub fn hear(&mut self, report: &UsageReport, now_ms: u64) -> bool {
-        self.heard.retain(|_, it| it.at_ms + FRESH_MS >= now_ms);
+    pub fn receive_report(&mut self, report: &UsageReport, now_ms: u64) -> bool {
+        self.heard.retain(|_, it| it.at_ms + REPORT_VALID_MS >= now_ms);
         let mut starts_per_s = match self.heard.remove(&report.entry) {
             _ if report.since == 0 => HashMap::new(),
             Some(held) if held.number == report.since => held.starts_per_s,
@@ -220,7 +220,7 @@
     }
 
     fn fresh(&self, entry: Incarnation, now_ms: u64) -> Option<&Heard> {
-        self.heard.get(&entry).filter(|it| it.at_ms + FRESH_MS >= now_ms)
+        self.heard.get(&entry).filter(|it| it.at_ms + REPORT_VALID_MS >= now_ms)
     }
 }
 
--- a/crates/decide/src/view.rs
+++ b/crates/decide/src/view.rs
@@ -31,7 +31,7 @@
 /// upstream and writes to one upstream do not slow the reads of another.
 #[derive(Debug, Default)]
 #[repr(align(64))]
-pub struct Live {
+pub struct LiveState {
     /// Slots in all, from the last report.
     pub slots: AtomicU32,
     /// Tasks running there, from the last report.
@@ -62,9 +62,9 @@
 /// A report of a full upstream is believed for this long, in milliseconds, while
 /// none can follow. Others get its slots meanwhile; it is some run times of short
 /// tasks.
-pub const BELIEVED_FULL_MS: u64 = 250;
+pub const FULL_REPORT_VALID_MS: u64 = 250;
 
-impl Live {
+impl LiveState {
     /// Takes an upstream that was reported full some time ago for one with a
     /// free slot, if no reply is due that would tell.
     ///
@@ -72,11 +72,11 @@
     /// an upstream hears nothing of it until the next heartbeat, and would leave
     /// all its slots to other entries. One task is risked: it starts, waits
     /// shortly, or is refused, and its reply tells the load.
-    pub fn doubt_full(&self, now_ms: u64) {
+    pub fn assume_slot_if_stale(&self, now_ms: u64) {
         let heard_at_ms = self.heard_at_ms.load(Ordering::Acquire);
         let slots = self.slots.load(Ordering::Acquire);
         let reported = self.running.load(Ordering::Acquire) + self.queued.load(Ordering::Acquire);
-        let is_old = now_ms >= heard_at_ms + BELIEVED_FULL_MS;
+        let is_old = now_ms >= heard_at_ms + FULL_REPORT_VALID_MS;
         let none_due = self.outstanding.load(Ordering::Acquire) == 0;
         if slots > 0 && reported >= slots && is_old && none_due {
             self.running.store(slots - 1, Ordering::Release);
@@ -87,7 +87,7 @@
 
 /// One upstream.
 #[derive(Clone, Debug)]
-pub struct Row {
+pub struct UpstreamRow {
     /// Its place in the arena.
     pub key: UpstreamKey,
     /// Its data centre.
@@ -99,13 +99,13 @@
     /// Kinds it serves; empty means all.
     pub kinds: Vec<KindKey>,
     /// Its load.
-    pub live: Arc<Live>,
+    pub live: Arc<LiveState>,
 }
 
-impl Row {
+impl UpstreamRow {
     /// Whether it serves the kind and could hold the size.
     #[must_use]
-    pub fn could_hold(&self, kind: KindKey, size_bytes: u64) -> bool {
+    pub fn can_serve(&self, kind: KindKey, size_bytes: u64) -> bool {
         size_bytes <= self.max_task_bytes && (self.kinds.is_empty() || self.kinds.contains(&kind))
     }
 
@@ -172,13 +172,13 @@
 #[derive(Clone, Debug, Default)]
 pub struct View {
     /// In the order of their keys.
-    pub rows: Vec<Row>,
+    pub rows: Vec<UpstreamRow>,
 }
 
 impl View {
     /// Finds a row by its key.
     #[must_use]
-    pub fn row(&self, key: UpstreamKey) -> Option<&Row> {
+    pub fn row(&self, key: UpstreamKey) -> Option<&UpstreamRow> {
         self.rows.binary_search_by_key(&key, |row| row.key).ok().map(|index| &self.rows[index])
     }
 }
--- a/crates/decide/tests/admission.rs
+++ b/crates/decide/tests/admission.rs
@@ -5,13 +5,13 @@
     std::sync::{Arc, atomic::Ordering::Relaxed},
     sycamorerail_decide::{
         admission::{
-            Refusal, Submitted, admit,
+            AdmissionRequest, Refusal, admit,
             forecast::{DrainRate, Forecast},
             limit::{OrganisationLimit, QuotaPart},
         },
-        placement::{Ask, Spread},
+        placement::{PlacementQuery, Spread},
         queue::Backlog,
-        view::{DataCentreKey, KindKey, Live, RackKey, Row, UpstreamKey, View},
+        view::{DataCentreKey, KindKey, LiveState, RackKey, UpstreamKey, UpstreamRow, View},
     },
     sycamorerail_wire::answer::Reason,
 };
@@ -20,11 +20,11 @@
 
 fn view(slots: &[u32], running: u32) -> View {
     let row = |(index, &slots): (usize, &u32)| {
-        let live = Live::default();
+        let live = LiveState::default();
         live.slots.store(slots, Relaxed);
         live.running.store(running, Relaxed);
         live.mean_run_us.store(100_000, Relaxed);
-        Row {
+        UpstreamRow {
             key: UpstreamKey(index as u32),
             data_centre: DataCentreKey(index as u16),
             rack: RackKey(index as u16),
@@ -36,8 +36,8 @@
     View { rows: slots.iter().enumerate().map(row).collect() }
 }
 
-fn submitted() -> Submitted<'static> {
-    let ask = Ask {
+fn request() -> AdmissionRequest<'static> {
+    let query = PlacementQuery {
         kind: KindKey(1),
         size_bytes: 100,
         run_ms: 100,
@@ -48,8 +48,8 @@
         siblings: &[],
         max_queued: 0,
     };
-    Submitted {
-        ask,
+    AdmissionRequest {
+        query,
         tasks: 1,
         deadline_ms: 1_000,
         least_run_ms: 100,
@@ -66,9 +66,9 @@
     OrganisationLimit::new(part(1e6, 1e6, 1_000_000))
 }
 
-fn ask_admission(submitted: &Submitted<'_>, view: &View) -> Result<(), Refusal> {
-    let forecast = Forecast::new(view, &submitted.ask, None, 1, NOW_MS);
-    admit(submitted, &roomy(), view, &forecast, NOW_MS)
+fn ask_admission(request: &AdmissionRequest<'_>, view: &View) -> Result<(), Refusal> {
+    let forecast = Forecast::new(view, &request.query, None, 1, NOW_MS);
+    admit(request, &roomy(), view, &forecast, NOW_MS)
 }
 
 fn refused(reason: Reason, retry_after_ms: u64) -> Result<(), Refusal> {
@@ -148,11 +148,11 @@
     ) {
         let view = view(&[4, 4], running);
         let backlog = Backlog { class_tasks, own_tasks: class_tasks, organisations: 1, more_urgent: 0 };
-        let submitted = Submitted { tasks, deadline_ms, least_run_ms, backlog, ..submitted() };
-        let forecast = Forecast::new(&view, &submitted.ask, None, 1, NOW_MS);
+        let request = AdmissionRequest { tasks, deadline_ms, least_run_ms, backlog, ..request() };
+        let forecast = Forecast::new(&view, &request.query, None, 1, NOW_MS);
         let wait_ms = forecast.wait_ms(class_tasks, tasks.into());
         let meets = wait_ms + wait_ms / 4 + u64::from(least_run_ms) <= deadline_ms.into();
-        match ask_admission(&submitted, &view) {
+        match ask_admission(&request, &view) {
             Ok(()) => prop_assert!(meets || wait_ms == 0),
             Err(refusal) => {
                 prop_assert_eq!(refusal.reason, Reason::DeadlineUnreachable);
@@ -176,13 +176,13 @@
 
 #[test]
 fn never_placeable() {
-    let mut too_large = submitted();
-    too_large.ask.size_bytes = 2_000;
+    let mut too_large = request();
+    too_large.query.size_bytes = 2_000;
     let refusal = Refusal { reason: Reason::NeverPlaceable, retry_after_ms: None };
     assert_eq!(ask_admission(&too_large, &view(&[1], 0)), Err(refusal));
-    let mut avoiding = submitted();
-    avoiding.ask.spread = Spread::Avoid;
-    avoiding.ask.avoid = &[DataCentreKey(0)];
+    let mut avoiding = request();
+    avoiding.query.spread = Spread::Avoid;
+    avoiding.query.avoid = &[DataCentreKey(0)];
     assert_eq!(ask_admission(&avoiding, &view(&[1], 0)), Err(refusal));
     assert_eq!(ask_admission(&avoiding, &view(&[1, 1], 0)), Ok(()));
 }
@@ -190,21 +190,21 @@
 #[test]
 fn no_upstream() {
     let none = refused(Reason::NoUpstream, 1_000);
-    assert_eq!(ask_admission(&submitted(), &View::default()), none);
+    assert_eq!(ask_admission(&request(), &View::default()), none);
     let view = view(&[1], 0);
     view.rows[0].live.leaving.store(true, Relaxed);
-    assert_eq!(ask_admission(&submitted(), &view), none);
+    assert_eq!(ask_admission(&request(), &view), none);
 }
 
 #[test]
 fn evacuated_counts_for_nothing() {
     let view = view(&[1, 1], 0);
     view.rows[0].live.evacuated.store(true, Relaxed);
-    assert_eq!(ask_admission(&submitted(), &view), Ok(()));
-    let forecast = Forecast::new(&view, &submitted().ask, None, 1, NOW_MS);
+    assert_eq!(ask_admission(&request(), &view), Ok(()));
+    let forecast = Forecast::new(&view, &request().query, None, 1, NOW_MS);
     assert_eq!(forecast.free_slots, 1);
     view.rows[1].live.ejected_until_ms.store(NOW_MS + 1, Relaxed);
-    assert_eq!(ask_admission(&submitted(), &view), refused(Reason::NoUpstream, 1_000));
+    assert_eq!(ask_admission(&request(), &view), refused(Reason::NoUpstream, 1_000));
 }
 
 #[test]
@@ -212,38 +212,38 @@
     let view = view(&[1, 1], 0);
     view.rows[0].live.evacuated.store(true, Relaxed);
     view.rows[1].live.evacuated.store(true, Relaxed);
-    assert_eq!(ask_admission(&submitted(), &view), refused(Reason::Evacuated, 2_000));
+    assert_eq!(ask_admission(&request(), &view), refused(Reason::Evacuated, 2_000));
     view.rows[1].live.leaving.store(true, Relaxed);
-    assert_eq!(ask_admission(&submitted(), &view), refused(Reason::Evacuated, 2_000));
+    assert_eq!(ask_admission(&request(), &view), refused(Reason::Evacuated, 2_000));
     view.rows[0].live.leaving.store(true, Relaxed);
-    assert_eq!(ask_admission(&submitted(), &view), refused(Reason::NoUpstream, 1_000));
+    assert_eq!(ask_admission(&request(), &view), refused(Reason::NoUpstream, 1_000));
 }
 
 #[test]
 fn full_queue() {
-    let job = Submitted { tasks: 100, queue_room: 50, ..submitted() };
+    let job = AdmissionRequest { tasks: 100, queue_room: 50, ..request() };
     // 20 slots, 200 starts a second: the 30 tasks too many need 150 ms.
     let view = view(&[10, 10], 0);
     assert_eq!(ask_admission(&job, &view), refused(Reason::Overloaded, 150));
-    assert_eq!(ask_admission(&Submitted { tasks: 70, ..job }, &view), Ok(()));
+    assert_eq!(ask_admission(&AdmissionRequest { tasks: 70, ..job }, &view), Ok(()));
 }
 
 #[test]
 fn late_by_wait() {
     // No slot free; 150 tasks before it at 100 starts a second.
     let backlog = Backlog { class_tasks: 149, own_tasks: 149, organisations: 1, more_urgent: 0 };
-    let late = Submitted { backlog, ..submitted() };
+    let late = AdmissionRequest { backlog, ..request() };
     let view = view(&[10], 10);
     // 1,500 ms, a quarter more, and the run: 975 ms late. In 780 ms the forecast
     // is 720 ms.
     assert_eq!(ask_admission(&late, &view), refused(Reason::DeadlineUnreachable, 780));
     let quiet = Backlog { own_tasks: 0, organisations: 2, ..backlog };
-    assert_eq!(ask_admission(&Submitted { backlog: quiet, ..late }, &view), Ok(()));
+    assert_eq!(ask_admission(&AdmissionRequest { backlog: quiet, ..late }, &view), Ok(()));
 }
 
 #[test]
 fn slow_but_free() {
-    let slow = Submitted { least_run_ms: 5_000, ..submitted() };
+    let slow = AdmissionRequest { least_run_ms: 5_000, ..request() };
     assert_eq!(ask_admission(&slow, &view(&[10], 0)), Ok(()));
 }
 
@@ -252,9 +252,9 @@
     let limit = OrganisationLimit::new(part(1.0, 1.0, 10));
     let forecast = Forecast::default();
     let empty = View::default();
-    assert!(admit(&submitted(), &limit, &empty, &forecast, NOW_MS).is_err());
+    assert!(admit(&request(), &limit, &empty, &forecast, NOW_MS).is_err());
     assert_eq!(limit.in_flight(), 0);
-    assert_eq!((limit.take_asked(), limit.take_asked()), (1, 0));
+    assert_eq!((limit.take_requested(), limit.take_requested()), (1, 0));
     assert_eq!(limit.take(1, NOW_MS), Ok(()));
     assert_eq!(limit.take(1, NOW_MS), refused(Reason::QuotaUsedUp, 1_000));
     assert_eq!(limit.in_flight(), 1);
--- a/crates/decide/tests/ejection.rs
+++ b/crates/decide/tests/ejection.rs
@@ -4,10 +4,10 @@
     proptest::{collection::vec, prelude::*, test_runner::RngSeed},
     sycamorerail_decide::{
         ejection::{
-            Ejections, FIRST_EJECTION_MS, MAX_EJECTION_MS, PROBE_TIMEOUT_MS, Service, apply,
-            max_ejected,
+            EjectionState, Ejections, FIRST_EJECTION_MS, MAX_EJECTION_MS, PROBE_TIMEOUT_MS,
+            max_ejected, publish,
         },
-        view::{DataCentreKey, KindKey, Live, RackKey, Row, UpstreamKey},
+        view::{DataCentreKey, KindKey, LiveState, RackKey, UpstreamKey, UpstreamRow},
     },
 };
 
@@ -35,8 +35,8 @@
 }
 
 fn until_ms(ejections: &Ejections) -> u64 {
-    match ejections.service(BAD) {
-        Service::Ejected { until_ms } => until_ms,
+    match ejections.state(BAD) {
+        EjectionState::Ejected { until_ms } => until_ms,
         other => panic!("{other:?}"),
     }
 }
@@ -86,17 +86,17 @@
                 }
                 Step::Probe => _ = ejections.take_probe(|_| true, now_ms),
                 Step::ProbeEnd { key, succeeded } => {
-                    ejections.probe_ended(UpstreamKey(key), succeeded, now_ms);
+                    ejections.record_probe_end(UpstreamKey(key), succeeded, now_ms);
                 }
                 Step::Unprobed => _ = ejections.return_unprobed(now_ms),
                 Step::Pause(pause_ms) => now_ms += pause_ms,
             }
             let is_out = |key| matches!(
-                ejections.service(UpstreamKey(key)),
-                Service::Ejected { .. } | Service::Probing { .. }
+                ejections.state(UpstreamKey(key)),
+                EjectionState::Ejected { .. } | EjectionState::Probing { .. }
             );
             let out = (0..upstreams).filter(|&key| is_out(key)).count();
-            prop_assert_eq!(out, ejections.out());
+            prop_assert_eq!(out, ejections.ejected_count());
             prop_assert!(out <= max_ejected(upstreams as usize));
         }
     }
@@ -123,7 +123,7 @@
         for (now_ms, (key, succeeded)) in ends.into_iter().enumerate() {
             ejections.observe(UpstreamKey(key), KIND, succeeded, now_ms as u64);
         }
-        prop_assert!(ejections.out() <= 1);
+        prop_assert!(ejections.ejected_count() <= 1);
     }
 }
 
@@ -132,7 +132,10 @@
     let mut ejections = fleet(10);
     let failures = eject(&mut ejections, 10, 1_000);
     assert!(failures <= 5, "{failures}");
-    assert_eq!(ejections.service(BAD), Service::Ejected { until_ms: 1_000 + FIRST_EJECTION_MS });
+    assert_eq!(
+        ejections.state(BAD),
+        EjectionState::Ejected { until_ms: 1_000 + FIRST_EJECTION_MS }
+    );
 }
 
 #[test]
@@ -162,7 +165,7 @@
         assert_eq!(ejections.take_probe(|_| true, until_ms(&ejections) - 1), None);
         now_ms = until_ms(&ejections);
         assert_eq!(ejections.take_probe(|_| true, now_ms), Some(BAD));
-        ejections.probe_ended(BAD, Some(false), now_ms);
+        ejections.record_probe_end(BAD, Some(false), now_ms);
     }
 }
 
@@ -176,7 +179,7 @@
     assert_eq!(ejections.take_probe(|_| true, now_ms), None);
     assert_eq!(ejections.observe(BAD, KIND, true, now_ms), None);
     assert_eq!(ejections.take_probe(|_| true, now_ms + PROBE_TIMEOUT_MS), Some(BAD));
-    ejections.probe_ended(BAD, None, now_ms);
+    ejections.record_probe_end(BAD, None, now_ms);
     assert_eq!(ejections.take_probe(|_| true, now_ms), Some(BAD));
 }
 
@@ -186,13 +189,13 @@
     eject(&mut ejections, 10, 0);
     let now_ms = until_ms(&ejections);
     ejections.take_probe(|_| true, now_ms);
-    let mut service = ejections.probe_ended(BAD, Some(true), now_ms);
+    let mut state = ejections.record_probe_end(BAD, Some(true), now_ms);
     for window in 1..=32 {
-        assert_eq!(service, Some(Service::Returning { window }));
-        service = ejections.observe(BAD, KIND, true, now_ms);
+        assert_eq!(state, Some(EjectionState::Returning { window }));
+        state = ejections.observe(BAD, KIND, true, now_ms);
     }
-    assert_eq!(service, Some(Service::Full));
-    assert_eq!(ejections.out(), 0);
+    assert_eq!(state, Some(EjectionState::Full));
+    assert_eq!(ejections.ejected_count(), 0);
 }
 
 #[test]
@@ -201,7 +204,7 @@
     eject(&mut ejections, 10, 0);
     let now_ms = until_ms(&ejections);
     ejections.take_probe(|_| true, now_ms);
-    ejections.probe_ended(BAD, Some(true), now_ms);
+    ejections.record_probe_end(BAD, Some(true), now_ms);
     ejections.observe(BAD, KIND, false, now_ms);
     assert_eq!(until_ms(&ejections), now_ms + 2 * FIRST_EJECTION_MS);
 }
@@ -211,14 +214,14 @@
     let mut ejections = fleet(10);
     eject(&mut ejections, 10, 0);
     assert_eq!(ejections.return_unprobed(2 * FIRST_EJECTION_MS - 1), []);
-    let returned = (BAD, Service::Returning { window: 1 });
+    let returned = (BAD, EjectionState::Returning { window: 1 });
     assert_eq!(ejections.return_unprobed(2 * FIRST_EJECTION_MS), [returned]);
 }
 
 #[test]
 fn seen_by_placement() {
-    let live = std::sync::Arc::new(Live::default());
-    let row = Row {
+    let live = std::sync::Arc::new(LiveState::default());
+    let row = UpstreamRow {
         key: BAD,
         data_centre: DataCentreKey(0),
         rack: RackKey(0),
@@ -227,12 +230,12 @@
         live,
     };
     assert!(row.takes_work(0));
-    apply(Service::Ejected { until_ms: 5 }, &row.live);
+    publish(EjectionState::Ejected { until_ms: 5 }, &row.live);
     assert!(!row.takes_work(6));
-    apply(Service::Returning { window: 1 }, &row.live);
+    publish(EjectionState::Returning { window: 1 }, &row.live);
     assert!(row.takes_work(0));
     row.live.outstanding.store(1, std::sync::atomic::Ordering::Relaxed);
     assert!(!row.takes_work(0));
-    apply(Service::Full, &row.live);
+    publish(EjectionState::Full, &row.live);
     assert!(row.takes_work(0));
 }
--- a/crates/decide/tests/fence_model.rs
+++ b/crates/decide/tests/fence_model.rs
@@ -12,7 +12,9 @@
             Conclusion, JobFacts, Roster,
             collector::{Collector, FenceTimes, Request},
         },
-        gate::{Gate, Go, Limits, Placed, Settled, Start, UpstreamState},
+        gate::{
+            CallPermit, Gate, Limits, PlacementDecision, SettledTask, TaskStart, UpstreamState,
+        },
         job::{Action, Event, Job, JobParameters, PlacementKey, Reply, TaskAttempt},
         view::UpstreamKey,
     },
@@ -295,10 +297,12 @@
         let agent = &mut self.agents[at];
         agent.waiters.push((task, job, key));
         match agent.gate.place(placement, self.now_ms) {
-            Placed::Start(start) => self.start(at, &start),
-            Placed::Queued { .. } | Placed::Joined => {}
-            Placed::Known(body) => self.reply(at, &[Settled { task, reply: body }]),
-            Placed::Refused(refusal) => {
+            PlacementDecision::Start(start) => self.start(at, &start),
+            PlacementDecision::Queued { .. } | PlacementDecision::Joined => {}
+            PlacementDecision::Settled(body) => {
+                self.reply(at, &[SettledTask { task, reply: body }])
+            }
+            PlacementDecision::Refused(refusal) => {
                 agent.waiters.retain(|waiter| *waiter != (task, job, key));
                 let body = refusal.reply();
                 self.messages.push(Message::Placed { agent: at, job, key, body });
@@ -322,10 +326,10 @@
         }
     }
 
-    fn start(&mut self, at: usize, start: &Start) {
+    fn start(&mut self, at: usize, start: &TaskStart) {
         let task = start.placement.task;
         let agent = &mut self.agents[at];
-        if agent.gate.go(task) == Go::Call {
+        if agent.gate.permit_call(task) == CallPermit::Granted {
             agent.running.push(task);
             let starts = self.starts.entry(task).or_default();
             *starts += 1;
@@ -333,8 +337,8 @@
         }
     }
 
-    fn reply(&mut self, at: usize, settled: &[Settled]) {
-        for Settled { task, reply } in settled {
+    fn reply(&mut self, at: usize, settled: &[SettledTask]) {
+        for SettledTask { task, reply } in settled {
             let waiters = std::mem::take(&mut self.agents[at].waiters);
             let (told, left): (Vec<_>, Vec<_>) =
                 waiters.into_iter().partition(|(waits, ..)| waits == task);
@@ -375,12 +379,12 @@
         let settled = match how {
             0 => {
                 let end = TaskEnd::Failed { reason: Reason::TaskFailed, detail: String::new() };
-                agent.gate.ended(task, end, 1, self.now_ms)
+                agent.gate.record_end(task, end, 1, self.now_ms)
             }
-            1 => agent.gate.broken(task, Reason::UpstreamBroken, self.now_ms),
+            1 => agent.gate.record_broken(task, Reason::UpstreamBroken, self.now_ms),
             _ => {
                 let end = TaskEnd::Finished(Payload(format!("result {}", task.index)));
-                agent.gate.ended(task, end, 1, self.now_ms)
+                agent.gate.record_end(task, end, 1, self.now_ms)
             }
         };
         self.reply(at, &settled.into_iter().collect::<Vec<_>>());
--- a/crates/decide/tests/gate.rs
+++ b/crates/decide/tests/gate.rs
@@ -2,7 +2,8 @@
 
 use {
     sycamorerail_decide::gate::{
-        Gate, Go, Limits, MAX_FENCED, Placed, RECORD_COST_BYTES, Start, UpstreamState,
+        CallPermit, Gate, Limits, MAX_FENCED, PlacementDecision, RECORD_COST_BYTES, TaskStart,
+        UpstreamState,
     },
     sycamorerail_wire::{
         answer::{Payload, Reason, TaskEnd, TaskRecord},
@@ -55,16 +56,16 @@
     gate
 }
 
-fn start(gate: &mut Gate, sequence: u64) -> Start {
-    let Placed::Start(start) = gate.place(placement(sequence), 0) else {
+fn start(gate: &mut Gate, sequence: u64) -> TaskStart {
+    let PlacementDecision::Start(start) = gate.place(placement(sequence), 0) else {
         panic!("no start");
     };
-    assert_eq!(gate.go(task(sequence)), Go::Call);
+    assert_eq!(gate.permit_call(task(sequence)), CallPermit::Granted);
     *start
 }
 
-fn refused(placed: Placed) -> (Reason, bool) {
-    let Placed::Refused(refusal) = placed else {
+fn refused(placed: PlacementDecision) -> (Reason, bool) {
+    let PlacementDecision::Refused(refusal) = placed else {
         panic!("not refused: {placed:?}");
     };
     (refusal.reason, refusal.never)
@@ -85,22 +86,22 @@
 fn copies_join() {
     let mut gate = gate(1);
     start(&mut gate, 1);
-    assert_eq!(gate.place(placement(1), 1), Placed::Joined);
-    assert_eq!(gate.go(task(1)), Go::CalledBefore);
-    let told = gate.ended(task(1), finished("1"), 7, 2).unwrap();
-    assert_eq!(gate.place(placement(1), 3), Placed::Known(told.reply));
-    assert_eq!(gate.ended(task(1), finished("2"), 7, 2), None);
+    assert_eq!(gate.place(placement(1), 1), PlacementDecision::Joined);
+    assert_eq!(gate.permit_call(task(1)), CallPermit::AlreadyCalled);
+    let told = gate.record_end(task(1), finished("1"), 7, 2).unwrap();
+    assert_eq!(gate.place(placement(1), 3), PlacementDecision::Settled(told.reply));
+    assert_eq!(gate.record_end(task(1), finished("2"), 7, 2), None);
 }
 
 #[test]
 fn urgent_first() {
     let mut gate = gate(1);
     start(&mut gate, 1);
-    assert_eq!(gate.place(placement(2), 0), Placed::Queued { start_by_ms: 100 });
+    assert_eq!(gate.place(placement(2), 0), PlacementDecision::Queued { start_by_ms: 100 });
     let urgent = Placement { urgency: 0, ..placement(3) };
-    assert_eq!(gate.place(urgent, 1), Placed::Queued { start_by_ms: 101 });
+    assert_eq!(gate.place(urgent, 1), PlacementDecision::Queued { start_by_ms: 101 });
     assert_eq!(refused(gate.place(placement(4), 2)), (Reason::AgentFull, false));
-    gate.broken(task(1), Reason::UpstreamBroken, 10).unwrap();
+    gate.record_broken(task(1), Reason::UpstreamBroken, 10).unwrap();
     let next = gate.take_next(10, &mut Vec::new()).unwrap();
     assert_eq!((next.placement.task, next.queued_ms), (task(3), 9));
     assert_eq!(gate.take_next(10, &mut Vec::new()), None);
@@ -124,7 +125,7 @@
     assert_eq!(told.task, task(2));
     assert_eq!(not_started(told.reply), (Reason::StartWindowPassed, false));
     gate.place(placement(3), 100);
-    gate.broken(task(1), Reason::UpstreamBroken, 250);
+    gate.record_broken(task(1), Reason::UpstreamBroken, 250);
     let mut settled = Vec::new();
     assert_eq!(gate.take_next(250, &mut settled), None);
     assert_eq!(settled.len(), 1);
@@ -135,7 +136,7 @@
     let mut gate = gate(1);
     let revoked = gate.revoke(&[task(1)], 0);
     assert_eq!(revoked.reports[0].record, TaskRecord::NeverStarted);
-    let Placed::Known(reply) = gate.place(placement(1), 1) else { panic!("started") };
+    let PlacementDecision::Settled(reply) = gate.place(placement(1), 1) else { panic!("started") };
     assert_eq!(not_started(reply), (Reason::Revoked, true));
 }
 
@@ -147,7 +148,7 @@
     let revoked = gate.revoke(&[task(2)], 0);
     assert_eq!(revoked.reports[0].record, TaskRecord::NeverStarted);
     assert_eq!(not_started(revoked.settled[0].reply.clone()), (Reason::Revoked, true));
-    gate.broken(task(1), Reason::UpstreamBroken, 1);
+    gate.record_broken(task(1), Reason::UpstreamBroken, 1);
     assert_eq!(gate.take_next(1, &mut Vec::new()), None);
 }
 
@@ -161,25 +162,25 @@
         panic!("{revoked:?}");
     };
     assert_eq!(reason, Reason::Cancelled);
-    assert_eq!(gate.ended(task(1), finished("1"), 1, 2), None);
-    assert_eq!(gate.not_started(task(1), Reason::UpstreamUnreachable), None);
+    assert_eq!(gate.record_end(task(1), finished("1"), 1, 2), None);
+    assert_eq!(gate.record_not_started(task(1), Reason::UpstreamUnreachable), None);
     assert_eq!(gate.counts().running, 0);
 }
 
 #[test]
 fn revoke_uncalled() {
     let mut gate = gate(1);
-    assert!(matches!(gate.place(placement(1), 0), Placed::Start(_)));
+    assert!(matches!(gate.place(placement(1), 0), PlacementDecision::Start(_)));
     let revoked = gate.revoke(&[task(1)], 1);
     assert_eq!(revoked.reports[0].record, TaskRecord::NeverStarted);
-    assert_eq!(gate.go(task(1)), Go::Withdrawn);
+    assert_eq!(gate.permit_call(task(1)), CallPermit::Revoked);
 }
 
 #[test]
 fn revoke_ended() {
     let mut gate = gate(1);
     start(&mut gate, 1);
-    gate.ended(task(1), finished("1"), 1, 1);
+    gate.record_end(task(1), finished("1"), 1, 1);
     let revoked = gate.revoke(&[task(1)], 2);
     assert_eq!(revoked.reports[0].record, TaskRecord::Ended(finished("1")));
     assert_eq!((revoked.settled, revoked.aborted), (vec![], vec![]));
@@ -197,7 +198,7 @@
     let [only] = &fenced.jobs[..] else { panic!("{fenced:?}") };
     assert_eq!((only.job, only.task_count), (job(1), 1));
     assert_eq!(only.tasks[0].record, TaskRecord::Running);
-    assert_eq!(gate.place(placement(1), 1), Placed::Joined);
+    assert_eq!(gate.place(placement(1), 1), PlacementDecision::Joined);
     assert_eq!(refused(gate.place(placement(5), 1)), (Reason::Fenced, true));
 }
 
@@ -207,9 +208,9 @@
     for home in 0..MAX_FENCED as u64 {
         gate.fence(Incarnation(1_000 + home), &[]);
     }
-    assert!(matches!(gate.place(placement(1), 0), Placed::Start(_)));
+    assert!(matches!(gate.place(placement(1), 0), PlacementDecision::Start(_)));
     gate.fence(Incarnation(1_000), &[]);
-    assert!(!matches!(gate.place(placement(2), 0), Placed::Refused(_)));
+    assert!(!matches!(gate.place(placement(2), 0), PlacementDecision::Refused(_)));
     gate.fence(Incarnation(3), &[]);
     assert_eq!(refused(gate.place(placement(3), 0)), (Reason::MemoryFull, false));
 }
@@ -219,7 +220,7 @@
     let mut gate = gate(1);
     start(&mut gate, 1);
     gate.place(placement(1), 0);
-    let told = gate.not_started(task(1), Reason::UpstreamUnreachable).unwrap();
+    let told = gate.record_not_started(task(1), Reason::UpstreamUnreachable).unwrap();
     assert_eq!(not_started(told.reply), (Reason::UpstreamUnreachable, false));
     start(&mut gate, 1);
 }
@@ -239,7 +240,7 @@
     let dropped = gate.set_upstream(UpstreamState::Leaving);
     assert_eq!(not_started(dropped[0].reply.clone()), (Reason::Leaving, false));
     assert_eq!(refused(gate.place(placement(3), 0)), (Reason::Leaving, false));
-    assert!(gate.ended(task(1), finished("1"), 1, 1).is_some());
+    assert!(gate.record_end(task(1), finished("1"), 1, 1).is_some());
     gate.set_upstream(UpstreamState::Serving { slots: 1 });
     start(&mut gate, 3);
 }
@@ -252,7 +253,7 @@
     let dropped = gate.set_evacuated(true);
     assert_eq!(not_started(dropped[0].reply.clone()), (Reason::Evacuated, false));
     assert_eq!(refused(gate.place(placement(3), 0)), (Reason::Evacuated, false));
-    assert!(gate.ended(task(1), finished("1"), 1, 1).is_some(), "what runs goes on");
+    assert!(gate.record_end(task(1), finished("1"), 1, 1).is_some(), "what runs goes on");
     assert_eq!(gate.take_next(1, &mut Vec::new()), None);
     assert!(gate.set_evacuated(true).is_empty());
     gate.set_evacuated(false);
@@ -276,7 +277,7 @@
     let dropped = gate.drain();
     assert_eq!(not_started(dropped[0].reply.clone()), (Reason::Draining, true));
     assert_eq!(refused(gate.place(placement(3), 0)), (Reason::Draining, true));
-    assert_eq!(gate.place(placement(1), 0), Placed::Joined);
+    assert_eq!(gate.place(placement(1), 0), PlacementDecision::Joined);
 }
 
 #[test]
@@ -285,12 +286,12 @@
     for sequence in 1..=3 {
         start(&mut gate, sequence);
     }
-    gate.ended(task(1), finished("123456"), 1, 1);
+    gate.record_end(task(1), finished("123456"), 1, 1);
     let failed = TaskEnd::Failed { reason: Reason::TaskFailed, detail: "123".to_owned() };
-    gate.ended(task(2), failed, 1, 2);
-    gate.ended(task(3), finished("12345678"), 1, 3);
+    gate.record_end(task(2), failed, 1, 2);
+    gate.record_end(task(3), finished("12345678"), 1, 3);
     let dropped = AgentReplyBody::Broken(Reason::ResultDropped);
-    assert_eq!(gate.place(placement(1), 4), Placed::Known(dropped));
+    assert_eq!(gate.place(placement(1), 4), PlacementDecision::Settled(dropped));
     let reports = gate.revoke(&[task(1), task(2), task(3)], 4).reports;
     assert_eq!(reports[0].record, TaskRecord::EndDropped);
     let short = TaskEnd::Failed { reason: Reason::TaskFailed, detail: String::new() };
@@ -318,7 +319,7 @@
     let limits = Limits { record_bytes: 3 * RECORD_COST_BYTES + 1, ..LIMITS };
     let mut gate = gate_with(1, limits);
     start(&mut gate, 1);
-    assert!(matches!(gate.place(placement(2), 0), Placed::Queued { .. }));
+    assert!(matches!(gate.place(placement(2), 0), PlacementDecision::Queued { .. }));
     let revoked = gate.revoke(&[task(3), task(2)], 0);
     let reported: Vec<TaskId> = revoked.reports.iter().map(|report| report.task).collect();
     assert_eq!(reported, [task(3), task(2)]);
@@ -329,24 +330,24 @@
     let mut gate = gate(2);
     start(&mut gate, 1);
     start(&mut gate, 2);
-    gate.ended(task(1), finished("1"), 1, 10);
+    gate.record_end(task(1), finished("1"), 1, 10);
     gate.expire(1_009);
     assert_eq!(gate.counts().records, 2);
     gate.expire(1_010);
     assert_eq!(gate.counts().records, 1);
     assert_eq!(gate.counts().kept_result_bytes, 0);
     gate.expire(1_000_000);
-    assert_eq!(gate.place(placement(2), 1_000_000), Placed::Joined);
+    assert_eq!(gate.place(placement(2), 1_000_000), PlacementDecision::Joined);
 }
 
 #[test]
 fn retry_estimate() {
     let mut gate = gate(1);
     start(&mut gate, 1);
-    gate.ended(task(1), finished("1"), 200_000, 1);
+    gate.record_end(task(1), finished("1"), 200_000, 1);
     for sequence in 2..=4 {
         gate.place(placement(sequence), 1);
     }
-    let Placed::Refused(refusal) = gate.place(placement(5), 1) else { panic!("taken") };
+    let PlacementDecision::Refused(refusal) = gate.place(placement(5), 1) else { panic!("taken") };
     assert_eq!(refusal.retry_after_ms, 600);
 }
--- a/crates/decide/tests/gate_machine.rs
+++ b/crates/decide/tests/gate_machine.rs
@@ -5,7 +5,7 @@
     proptest::{collection::vec, prelude::*, sample::Index},
     std::collections::{HashMap, HashSet},
     sycamorerail_decide::gate::{
-        Gate, Go, Limits, Placed, RECORD_COST_BYTES, Settled, UpstreamState,
+        CallPermit, Gate, Limits, PlacementDecision, RECORD_COST_BYTES, SettledTask, UpstreamState,
     },
     sycamorerail_wire::{
         answer::{Payload, Reason, TaskEnd, TaskRecord, TaskReport},
@@ -39,7 +39,7 @@
     Deliver(Index),
     Duplicate(Index),
     Lose(Index),
-    Go(Index),
+    CallPermit(Index),
     End(Index),
     Break(Index),
     Unreachable(Index),
@@ -73,7 +73,7 @@
         24 => any().prop_map(Op::Deliver),
         4 => any().prop_map(Op::Duplicate),
         2 => any().prop_map(Op::Lose),
-        12 => any().prop_map(Op::Go),
+        12 => any().prop_map(Op::CallPermit),
         8 => any().prop_map(Op::End),
         2 => any().prop_map(Op::Break),
         3 => any().prop_map(Op::Unreachable),
@@ -163,7 +163,7 @@
             Op::Deliver(which) => self.deliver(which),
             Op::Duplicate(which) => self.sent.push(which.get(&self.sent).clone()),
             Op::Lose(which) => drop(self.sent.swap_remove(which.index(self.sent.len()))),
-            Op::Go(which) => self.go(which),
+            Op::CallPermit(which) => self.go(which),
             Op::End(which) => self.end(which),
             Op::Break(which) => self.break_off(which),
             Op::Unreachable(which) => self.unreachable(which),
@@ -243,18 +243,18 @@
     fn place(&mut self, placement: Placement) {
         let task = placement.task;
         match self.gate.place(placement, self.now_ms) {
-            Placed::Start(_) => {
+            PlacementDecision::Start(_) => {
                 assert!(!self.evacuated, "started in an evacuated data centre");
                 self.waited_for.insert(task);
                 self.running.push((task, false));
             }
-            Placed::Queued { .. } => {
+            PlacementDecision::Queued { .. } => {
                 assert!(!self.evacuated, "queued in an evacuated data centre");
                 assert!(self.waited_for.insert(task));
             }
-            Placed::Joined => assert!(self.waited_for.contains(&task)),
-            Placed::Known(reply) => self.hear(task, reply),
-            Placed::Refused(refusal) => self.hear(task, refusal.reply()),
+            PlacementDecision::Joined => assert!(self.waited_for.contains(&task)),
+            PlacementDecision::Settled(reply) => self.hear(task, reply),
+            PlacementDecision::Refused(refusal) => self.hear(task, refusal.reply()),
         }
     }
 
@@ -279,14 +279,14 @@
         }
         let at = *which.get(&waiting);
         let task = self.running[at].0;
-        match self.gate.go(task) {
-            Go::Call => {
+        match self.gate.permit_call(task) {
+            CallPermit::Granted => {
                 assert!(self.started.insert(task), "{task} started twice");
                 assert!(!self.never.contains(&task), "{task} started after never");
                 self.running[at].1 = true;
             }
-            Go::Withdrawn => drop(self.running.swap_remove(at)),
-            Go::CalledBefore => panic!("{task} called before"),
+            CallPermit::Revoked => drop(self.running.swap_remove(at)),
+            CallPermit::AlreadyCalled => panic!("{task} called before"),
         }
     }
 
@@ -301,14 +301,14 @@
     fn end(&mut self, which: Index) {
         if let Some(task) = self.called(which) {
             let end = TaskEnd::Finished(Payload(format!("{:08}", self.now_ms)));
-            let settled = self.gate.ended(task, end, 1_000, self.now_ms);
+            let settled = self.gate.record_end(task, end, 1_000, self.now_ms);
             self.hear_all(settled.into_iter().collect());
         }
     }
 
     fn break_off(&mut self, which: Index) {
         if let Some(task) = self.called(which) {
-            let settled = self.gate.broken(task, Reason::UpstreamBroken, self.now_ms);
+            let settled = self.gate.record_broken(task, Reason::UpstreamBroken, self.now_ms);
             self.hear_all(settled.into_iter().collect());
         }
     }
@@ -316,7 +316,7 @@
     /// The upstream refused the connection: it did not see the task.
     fn unreachable(&mut self, which: Index) {
         if let Some(task) = self.called(which) {
-            let settled = self.gate.not_started(task, Reason::UpstreamUnreachable);
+            let settled = self.gate.record_not_started(task, Reason::UpstreamUnreachable);
             // A revoke that came first has said already that it failed.
             if settled.is_some() {
                 self.started.remove(&task);
@@ -341,8 +341,8 @@
         self.hear_all(settled);
     }
 
-    fn hear_all(&mut self, settled: Vec<Settled>) {
-        for Settled { task, reply } in settled {
+    fn hear_all(&mut self, settled: Vec<SettledTask>) {
+        for SettledTask { task, reply } in settled {
             assert!(self.waited_for.remove(&task), "{task} told twice");
             self.hear(task, reply);
         }
--- a/crates/decide/tests/links.rs
+++ b/crates/decide/tests/links.rs
@@ -4,7 +4,8 @@
     proptest::prelude::*,
     std::collections::BTreeSet,
     sycamorerail_decide::links::{
-        LinkChoice, LinkLimits, LinkState, choose, links_for, next_count, preferred,
+        LinkChoice, LinkLimits, LinkState, links_per_agent, next_link_count, rank_entries,
+        select_links,
     },
 };
 
@@ -13,11 +14,11 @@
 
 /// A link that has worked for long.
 fn works() -> LinkState {
-    LinkState { is_kept: true, connected_ms: Some(0), failing_ms: None }
+    LinkState { is_kept: true, connected_since_ms: Some(0), failing_since_ms: None }
 }
 
 fn lost(for_ms: u64) -> LinkState {
-    LinkState { is_kept: true, connected_ms: None, failing_ms: Some(NOW_MS - for_ms) }
+    LinkState { is_kept: true, connected_since_ms: None, failing_since_ms: Some(NOW_MS - for_ms) }
 }
 
 fn numbered(states: &[LinkState]) -> Vec<(usize, LinkState)> {
@@ -26,16 +27,16 @@
 
 #[test]
 fn small_sites_have_every_link() {
-    assert_eq!(links_for(4, 11, &LIMITS), 4);
-    assert_eq!(links_for(3, 500, &LIMITS), 3);
-    assert_eq!(links_for(55, 20, &LIMITS), 55);
+    assert_eq!(links_per_agent(4, 11, &LIMITS), 4);
+    assert_eq!(links_per_agent(3, 500, &LIMITS), 3);
+    assert_eq!(links_per_agent(55, 20, &LIMITS), 55);
 }
 
 #[test]
 fn large_sites_have_few() {
-    assert_eq!(links_for(12, 68, &LIMITS), 5);
-    assert_eq!(links_for(55, 240, &LIMITS), 6);
-    assert_eq!(links_for(70, 1_100, &LIMITS), 5);
+    assert_eq!(links_per_agent(12, 68, &LIMITS), 5);
+    assert_eq!(links_per_agent(55, 240, &LIMITS), 6);
+    assert_eq!(links_per_agent(70, 1_100, &LIMITS), 5);
 }
 
 /// Each agent learns from its entries alone, and all come to the same number.
@@ -46,37 +47,37 @@
         for _ in 0..10 {
             let links = wanted.max(1) * agents;
             let seen = vec![u32::try_from(links / entries).unwrap(); wanted];
-            wanted = next_count(wanted, entries, &seen, &LIMITS);
+            wanted = next_link_count(wanted, entries, &seen, &LIMITS);
         }
-        let least = links_for(entries, agents, &LIMITS);
+        let least = links_per_agent(entries, agents, &LIMITS);
         assert!((least..=least + 1).contains(&wanted), "{entries} {agents}: {wanted} {least}");
     }
 }
 
 #[test]
 fn low_counts_at_a_start_double_it_at_most() {
-    assert_eq!(next_count(5, 55, &[1; 5], &LIMITS), 10);
+    assert_eq!(next_link_count(5, 55, &[1; 5], &LIMITS), 10);
 }
 
 #[test]
 fn a_restarting_entry_is_waited_for() {
     let ranked = numbered(&[works(), lost(500), works(), LinkState::default()]);
-    assert_eq!(choose(&ranked, 3, NOW_MS), LinkChoice::default());
+    assert_eq!(select_links(&ranked, 3, NOW_MS), LinkChoice::default());
 }
 
 #[test]
 fn a_lost_entry_is_replaced_and_dialled_on() {
     let ranked = numbered(&[works(), lost(1_500), works(), LinkState::default()]);
-    assert_eq!(choose(&ranked, 3, NOW_MS), LinkChoice { dial: vec![3], end: Vec::new() });
+    assert_eq!(select_links(&ranked, 3, NOW_MS), LinkChoice { dial: vec![3], end: Vec::new() });
 }
 
 #[test]
 fn the_replacement_goes_when_the_lost_one_has_worked_again() {
-    let back = |for_ms| LinkState { connected_ms: Some(NOW_MS - for_ms), ..works() };
+    let back = |for_ms| LinkState { connected_since_ms: Some(NOW_MS - for_ms), ..works() };
     let ranked = numbered(&[works(), back(500), works(), works()]);
-    assert_eq!(choose(&ranked, 3, NOW_MS).end, Vec::<usize>::new());
+    assert_eq!(select_links(&ranked, 3, NOW_MS).end, Vec::<usize>::new());
     let ranked = numbered(&[works(), back(2_500), works(), works()]);
-    assert_eq!(choose(&ranked, 3, NOW_MS).end, [3]);
+    assert_eq!(select_links(&ranked, 3, NOW_MS).end, [3]);
 }
 
 #[test]
@@ -86,7 +87,7 @@
         .iter()
         .map(|(entry, state)| (*entry, LinkState { is_kept: *entry < 6, ..*state }))
         .collect();
-    assert_eq!(choose(&asleep, 6, NOW_MS).dial, (6..12).collect::<Vec<_>>());
+    assert_eq!(select_links(&asleep, 6, NOW_MS).dial, (6..12).collect::<Vec<_>>());
 }
 
 proptest! {
@@ -97,7 +98,7 @@
         let gone = gone % entries;
         let rest: Vec<_> = all.iter().copied().filter(|entry| *entry != gone).collect();
         let first = |entries: &[usize]| -> BTreeSet<usize> {
-            preferred(&agent.to_string(), entries).into_iter().take(5).collect()
+            rank_entries(&agent.to_string(), entries).into_iter().take(5).collect()
         };
         let (before, after) = (first(&all), first(&rest));
         let moved = after.difference(&before).count();
@@ -111,7 +112,7 @@
         entries in 0_usize..200,
         seen in prop::collection::vec(0_u32..5_000, 0..10),
     ) {
-        let next = next_count(wanted, entries, &seen, &LIMITS);
+        let next = next_link_count(wanted, entries, &seen, &LIMITS);
         prop_assert!(next >= 1);
         prop_assert!(next <= entries.max(1));
     }
@@ -125,13 +126,13 @@
     ) {
         let state = |(is_kept, kind, for_ms): &(bool, u64, u64)| LinkState {
             is_kept: *is_kept,
-            connected_ms: (*kind == 1).then_some(NOW_MS - for_ms),
-            failing_ms: (*kind == 2).then_some(NOW_MS - for_ms),
+            connected_since_ms: (*kind == 1).then_some(NOW_MS - for_ms),
+            failing_since_ms: (*kind == 2).then_some(NOW_MS - for_ms),
         };
         let ranked = numbered(&states.iter().map(state).collect::<Vec<_>>());
-        let LinkChoice { dial, end } = choose(&ranked, wanted, NOW_MS);
+        let LinkChoice { dial, end } = select_links(&ranked, wanted, NOW_MS);
         let kept = ranked.iter().filter(|(entry, state)| !end.contains(entry) && state.is_kept);
-        let working = kept.filter(|(_, state)| state.is_settled(NOW_MS)).count();
+        let working = kept.filter(|(_, state)| state.is_stable(NOW_MS)).count();
         prop_assert!(end.is_empty() || working >= wanted.min(ranked.len()));
         prop_assert!(dial.iter().all(|entry| !end.contains(entry)));
     }
--- a/crates/decide/tests/placement.rs
+++ b/crates/decide/tests/placement.rs
@@ -5,8 +5,8 @@
     rand::{SeedableRng, rngs::SmallRng},
     std::sync::{Arc, atomic::Ordering::Relaxed},
     sycamorerail_decide::{
-        placement::{Ask, Choice, Policy, Spread, spread::Share},
-        view::{DataCentreKey, KindKey, Live, RackKey, Row, UpstreamKey, View},
+        placement::{Choice, PlacementQuery, Policy, Spread, spread::FairShare},
+        view::{DataCentreKey, KindKey, LiveState, RackKey, UpstreamKey, UpstreamRow, View},
     },
 };
 
@@ -47,15 +47,15 @@
     )
 }
 
-fn row(index: usize, upstream: &Upstream) -> Row {
-    let live = Live::default();
+fn row(index: usize, upstream: &Upstream) -> UpstreamRow {
+    let live = LiveState::default();
     live.slots.store(upstream.slots, Relaxed);
     live.running.store(upstream.running, Relaxed);
     live.outstanding.store(upstream.outstanding, Relaxed);
     live.leaving.store(upstream.leaving, Relaxed);
     live.ejected_until_ms.store(upstream.ejected_until_ms, Relaxed);
     live.mean_run_us.store(upstream.run_us, Relaxed);
-    Row {
+    UpstreamRow {
         key: UpstreamKey(index as u32 * 2),
         data_centre: DataCentreKey((index / 2 % 3) as u16),
         rack: RackKey((index / 2) as u16),
@@ -76,9 +76,9 @@
     for (data_centre, racks) in racks_by_data_centre.iter().enumerate() {
         for &upstreams in racks {
             for _ in 0..upstreams {
-                let live = Live::default();
+                let live = LiveState::default();
                 live.slots.store(slots, Relaxed);
-                rows.push(Row {
+                rows.push(UpstreamRow {
                     key: UpstreamKey(rows.len() as u32),
                     data_centre: DataCentreKey(data_centre as u16),
                     rack: RackKey(rack),
@@ -93,8 +93,8 @@
     View { rows }
 }
 
-fn ask(spread: Spread) -> Ask<'static> {
-    Ask {
+fn query(spread: Spread) -> PlacementQuery<'static> {
+    PlacementQuery {
         kind: KIND,
         size_bytes: 150,
         run_ms: 100,
@@ -107,9 +107,9 @@
     }
 }
 
-fn choose(name: &str, view: &View, ask: &Ask<'_>, seed: u64) -> Choice {
+fn choose(name: &str, view: &View, query: &PlacementQuery<'_>, seed: u64) -> Choice {
     let policy = Policy::by_name(name).unwrap();
-    (policy.choose)(view, ask, &mut SmallRng::seed_from_u64(seed), NOW_MS)
+    (policy.choose)(view, query, &mut SmallRng::seed_from_u64(seed), NOW_MS)
 }
 
 fn spreads() -> impl Strategy<Value = Spread> {
@@ -120,13 +120,13 @@
     prop::sample::select(Policy::NAMES.to_vec())
 }
 
-fn has_room(row: &Row, ask: &Ask<'_>) -> bool {
-    row.could_hold(ask.kind, ask.size_bytes)
+fn has_room(row: &UpstreamRow, query: &PlacementQuery<'_>) -> bool {
+    row.can_serve(query.kind, query.size_bytes)
         && row.takes_work(NOW_MS)
-        && !ask.tried.contains(&row.key)
+        && !query.tried.contains(&row.key)
         && row.live.slots.load(Relaxed) > 0
-        && row.free_slots() > -i64::from(ask.max_queued)
-        && !(ask.spread == Spread::Avoid && ask.avoid.contains(&row.data_centre))
+        && row.free_slots() > -i64::from(query.max_queued)
+        && !(query.spread == Spread::Avoid && query.avoid.contains(&row.data_centre))
 }
 
 fn config() -> ProptestConfig {
@@ -147,21 +147,21 @@
     ) {
         let view = view(&upstreams);
         let avoid = [DataCentreKey(2)];
-        let mut ask = Ask { tried: &tried, avoid: &avoid, max_queued, ..ask(spread) };
-        let choice = choose(name, &view, &ask, seed);
+        let mut query = PlacementQuery { tried: &tried, avoid: &avoid, max_queued, ..query(spread) };
+        let choice = choose(name, &view, &query, seed);
         if name == "late_binding" {
-            ask.max_queued = 0;
+            query.max_queued = 0;
         }
-        let could_hold = |row: &Row| row.could_hold(KIND, ask.size_bytes)
+        let can_serve = |row: &UpstreamRow| row.can_serve(KIND, query.size_bytes)
             && !(spread == Spread::Avoid && avoid.contains(&row.data_centre));
         match choice {
-            Choice::Place(key) => prop_assert!(has_room(view.row(key).unwrap(), &ask)),
+            Choice::Place(key) => prop_assert!(has_room(view.row(key).unwrap(), &query)),
             Choice::Wait { retry_after_ms } => {
                 prop_assert!((1..=50).contains(&retry_after_ms));
-                prop_assert!(!view.rows.iter().any(|row| has_room(row, &ask)));
-                prop_assert!(view.rows.is_empty() || view.rows.iter().any(could_hold));
+                prop_assert!(!view.rows.iter().any(|row| has_room(row, &query)));
+                prop_assert!(view.rows.is_empty() || view.rows.iter().any(can_serve));
             }
-            Choice::Never => prop_assert!(!view.rows.iter().any(could_hold)),
+            Choice::Never => prop_assert!(!view.rows.iter().any(can_serve)),
         }
     }
 
@@ -169,10 +169,10 @@
     #[test]
     fn late_binding(upstreams in vec(upstream(), 1..24), seed: u64) {
         let view = view(&upstreams);
-        let free: i64 = view.rows.iter().filter(|row| has_room(row, &ask(Spread::Even)))
+        let free: i64 = view.rows.iter().filter(|row| has_room(row, &query(Spread::Even)))
             .map(|row| row.free_slots().max(0)).sum();
         let mut placed = 0;
-        while let Choice::Place(key) = choose("late_binding", &view, &ask(Spread::Even), seed) {
+        while let Choice::Place(key) = choose("late_binding", &view, &query(Spread::Even), seed) {
             let row = view.row(key).unwrap();
             prop_assert!(row.free_slots() > 0);
             row.live.outstanding.fetch_add(1, Relaxed);
@@ -185,11 +185,11 @@
     #[test]
     fn least_wait(upstreams in vec(upstream(), 1..24), seed: u64) {
         let view = view(&upstreams);
-        let ask = ask(Spread::Even);
-        let wait_us = |row: &Row| row.expected_wait_us(100_000.0);
-        let rows = view.rows.iter().filter(|row| has_room(row, &ask));
+        let query = query(Spread::Even);
+        let wait_us = |row: &UpstreamRow| row.expected_wait_us(100_000.0);
+        let rows = view.rows.iter().filter(|row| has_room(row, &query));
         let least_us = rows.map(wait_us).fold(f32::INFINITY, f32::min);
-        if let Choice::Place(key) = choose("least_wait", &view, &ask, seed) {
+        if let Choice::Place(key) = choose("least_wait", &view, &query, seed) {
             prop_assert_eq!(wait_us(view.row(key).unwrap()), least_us);
         }
     }
@@ -204,24 +204,24 @@
         let rows = view.rows.len() as u32;
         let mut siblings: Vec<(RackKey, u16)> = vec![];
         for placed in 0..tasks as u32 {
-            let ask = Ask { siblings: &siblings, ..ask(Spread::Even) };
-            let Choice::Place(key) = choose(name, &view, &ask, seed ^ u64::from(placed)) else {
+            let query = PlacementQuery { siblings: &siblings, ..query(Spread::Even) };
+            let Choice::Place(key) = choose(name, &view, &query, seed ^ u64::from(placed)) else {
                 return Err(TestCaseError::fail("held back"));
             };
             let row = view.row(key).unwrap();
             row.live.outstanding.fetch_add(1, Relaxed);
             siblings.push((row.rack, 1));
-            let of_data_centre = |it: &&Row| it.data_centre == row.data_centre;
-            let rows_here = view.rows.iter().filter(of_data_centre).count() as u32;
-            let places = racks.len() as u32;
-            let bound = Share { tasks: placed + 1, places, rows_here, rows }.bound();
+            let of_data_centre = |it: &&UpstreamRow| it.data_centre == row.data_centre;
+            let domain_rows = view.rows.iter().filter(of_data_centre).count() as u32;
+            let domains = racks.len() as u32;
+            let bound = FairShare { tasks: placed + 1, domains, domain_rows, rows }.bound();
             let held = |racks: &dyn Fn(RackKey) -> bool| siblings.iter()
                 .filter(|(rack, _)| racks(*rack)).count() as u32;
             let is_here = |rack| view.rows.iter().filter(of_data_centre).any(|it| it.rack == rack);
             prop_assert!(held(&is_here) <= bound);
             let in_rack = view.rows.iter().filter(|it| it.rack == row.rack).count() as u32;
-            let places = racks[usize::from(row.data_centre.0)].len() as u32;
-            let rack = Share { tasks: bound, places, rows_here: in_rack, rows: rows_here };
+            let domains = racks[usize::from(row.data_centre.0)].len() as u32;
+            let rack = FairShare { tasks: bound, domains, domain_rows: in_rack, rows: domain_rows };
             prop_assert!(held(&|rack| rack == row.rack) <= rack.bound());
         }
     }
@@ -230,11 +230,11 @@
     #[test]
     fn local_first(upstreams in vec(upstream(), 1..24), seed: u64) {
         let view = view(&upstreams);
-        let ask = Ask { max_queued: 0, ..ask(Spread::Local) };
-        let is_local = |row: &Row| row.data_centre == ask.local;
-        let has_local = view.rows.iter().any(|row| is_local(row) && has_room(row, &ask));
+        let query = PlacementQuery { max_queued: 0, ..query(Spread::Local) };
+        let is_local = |row: &UpstreamRow| row.data_centre == query.local;
+        let has_local = view.rows.iter().any(|row| is_local(row) && has_room(row, &query));
         for name in Policy::NAMES {
-            if let Choice::Place(key) = choose(name, &view, &ask, seed) {
+            if let Choice::Place(key) = choose(name, &view, &query, seed) {
                 prop_assert_eq!(is_local(view.row(key).unwrap()), has_local, "{}", name);
             }
         }
@@ -247,8 +247,8 @@
     for name in Policy::NAMES {
         let mut siblings: Vec<(RackKey, u16)> = vec![];
         for seed in 0..100 {
-            let ask = Ask { siblings: &siblings, ..ask(Spread::Even) };
-            if let Choice::Place(key) = choose(name, &view, &ask, seed) {
+            let query = PlacementQuery { siblings: &siblings, ..query(Spread::Even) };
+            if let Choice::Place(key) = choose(name, &view, &query, seed) {
                 siblings.push((view.row(key).unwrap().rack, 1));
             }
         }
@@ -266,9 +266,9 @@
         row.live.leaving.store(true, Relaxed);
     }
     let siblings = [(RackKey(0), 40)];
-    let ask = Ask { siblings: &siblings, ..ask(Spread::Even) };
+    let query = PlacementQuery { siblings: &siblings, ..query(Spread::Even) };
     for name in Policy::NAMES {
-        assert!(matches!(choose(name, &view, &ask, 1), Choice::Place(_)), "{name}");
+        assert!(matches!(choose(name, &view, &query, 1), Choice::Place(_)), "{name}");
     }
 }
 
@@ -279,9 +279,9 @@
         row.live.running.store(9, Relaxed);
     }
     let siblings = [(RackKey(0), 40)];
-    let ask = Ask { siblings: &siblings, ..ask(Spread::Even) };
+    let query = PlacementQuery { siblings: &siblings, ..query(Spread::Even) };
     for name in Policy::NAMES {
-        assert!(matches!(choose(name, &view, &ask, 1), Choice::Wait { .. }), "{name}");
+        assert!(matches!(choose(name, &view, &query, 1), Choice::Wait { .. }), "{name}");
     }
 }
 
@@ -292,7 +292,7 @@
     short.iter().for_each(|row| row.live.mean_run_us.store(1_000, Relaxed));
     long.iter().for_each(|row| row.live.mean_run_us.store(9_000, Relaxed));
     view.rows.iter().for_each(|row| row.live.running.store(2, Relaxed));
-    let is_short = |seed| match choose("two_choices", &view, &ask(Spread::Even), seed) {
+    let is_short = |seed| match choose("two_choices", &view, &query(Spread::Even), seed) {
         Choice::Place(key) => key.0 < 20,
         other => panic!("{other:?}"),
     };
@@ -305,7 +305,7 @@
     let view = idle(&[vec![10]], 1);
     let mut counts = [0; 10];
     for seed in 0..10_000 {
-        if let Choice::Place(key) = choose("random", &view, &ask(Spread::Even), seed) {
+        if let Choice::Place(key) = choose("random", &view, &query(Spread::Even), seed) {
             counts[key.0 as usize] += 1;
         }
     }
@@ -323,7 +323,7 @@
 #[test]
 fn no_upstreams() {
     for name in Policy::NAMES {
-        let choice = choose(name, &View::default(), &ask(Spread::Even), 1);
+        let choice = choose(name, &View::default(), &query(Spread::Even), 1);
         assert_eq!(choice, Choice::Wait { retry_after_ms: 50 }, "{name}");
     }
 }
--- a/crates/decide/tests/queue.rs
+++ b/crates/decide/tests/queue.rs
@@ -5,14 +5,14 @@
     proptest::{collection::vec, prelude::*, test_runner::RngSeed},
     std::collections::HashMap,
     sycamorerail_decide::{
-        queue::{Backlog, Queue, Rank},
+        queue::{Backlog, Queue, SchedulingParams},
         view::KindKey,
     },
     sycamorerail_wire::ids::OrganisationKey,
 };
 
-fn rank(organisation: u64, urgency: u8) -> Rank {
-    Rank {
+fn params(organisation: u64, urgency: u8) -> SchedulingParams {
+    SchedulingParams {
         organisation: OrganisationKey(organisation),
         kind: KindKey(0),
         urgency,
@@ -22,13 +22,13 @@
     }
 }
 
-fn next<T>(queue: &mut Queue<T>) -> Option<(Rank, T)> {
-    queue.take(usize::MAX, |_, _| true)
+fn next<T>(queue: &mut Queue<T>) -> Option<(SchedulingParams, T)> {
+    queue.take_first(usize::MAX, |_, _| true)
 }
 
 #[derive(Clone, Debug)]
 enum Step {
-    Push(Rank),
+    Push(SchedulingParams),
     Take,
     TakeSecond,
     Remove(usize),
@@ -36,14 +36,20 @@
 }
 
 fn step() -> impl Strategy<Value = Step> {
-    let rank = (0u64..4, 0u32..2, 0u8..2, 1u32..3, 1u32..500, 0u64..100).prop_map(
+    let params = (0u64..4, 0u32..2, 0u8..2, 1u32..3, 1u32..500, 0u64..100).prop_map(
         |(organisation, kind, urgency, weight, cost_ms, latest_start_ms)| {
             let kind = KindKey(kind);
-            Rank { kind, weight, cost_ms, latest_start_ms, ..rank(organisation, urgency) }
+            SchedulingParams {
+                kind,
+                weight,
+                cost_ms,
+                latest_start_ms,
+                ..params(organisation, urgency)
+            }
         },
     );
     prop_oneof![
-        6 => rank.prop_map(Step::Push),
+        6 => params.prop_map(Step::Push),
         2 => Just(Step::Take),
         1 => Just(Step::TakeSecond),
         1 => any::<usize>().prop_map(Step::Remove),
@@ -67,34 +73,34 @@
         let mut list = vec![];
         for (id, step) in steps.into_iter().enumerate() {
             match step {
-                Step::Push(rank) => if let Ok(key) = queue.push(rank, id) {
-                    list.push((rank, id, key));
+                Step::Push(params) => if let Ok(key) = queue.push(params, id) {
+                    list.push((params, id, key));
                 },
                 Step::Take | Step::TakeSecond => {
                     let mut skip = usize::from(matches!(step, Step::TakeSecond));
-                    let taken = queue.take(9, |_, _| { skip = skip.wrapping_sub(1); skip > 9 });
-                    let Some((rank, id)) = taken else { continue };
+                    let taken = queue.take_first(9, |_, _| { skip = skip.wrapping_sub(1); skip > 9 });
+                    let Some((params, id)) = taken else { continue };
                     let position = list.iter().position(|it| it.1 == id).unwrap();
                     list.remove(position);
-                    let lane = |it: &Rank| (it.urgency, it.organisation, it.kind);
-                    prop_assert!(list[..position].iter().all(|it| lane(&it.0) != lane(&rank)));
+                    let lane = |it: &SchedulingParams| (it.urgency, it.organisation, it.kind);
+                    prop_assert!(list[..position].iter().all(|it| lane(&it.0) != lane(&params)));
                     let is_first = matches!(step, Step::Take);
-                    let most_urgent = list.iter().all(|it| it.0.urgency >= rank.urgency);
+                    let most_urgent = list.iter().all(|it| it.0.urgency >= params.urgency);
                     prop_assert!(!is_first || most_urgent);
                 }
                 Step::Remove(index) if !list.is_empty() => {
-                    let (rank, id, key) = list.remove(index % list.len());
-                    prop_assert_eq!(queue.remove(key), Some((rank, id)));
+                    let (params, id, key) = list.remove(index % list.len());
+                    prop_assert_eq!(queue.remove(key), Some((params, id)));
                     prop_assert_eq!(queue.remove(key), None);
                 }
                 Step::Remove(_) => {}
                 Step::Late(now_ms) => {
                     let mut late = vec![];
-                    while let Some((_, id)) = queue.take_late(now_ms) {
+                    while let Some((_, id)) = queue.take_expired(now_ms) {
                         late.push(id);
                     }
                     late.sort_unstable();
-                    let is_late = |it: &&(Rank, usize, _)| it.0.latest_start_ms < now_ms;
+                    let is_late = |it: &&(SchedulingParams, usize, _)| it.0.latest_start_ms < now_ms;
                     let expected: Vec<_> = list.iter().filter(is_late).map(|it| it.1).collect();
                     list.retain(|it| it.0.latest_start_ms >= now_ms);
                     prop_assert_eq!(late, expected);
@@ -107,7 +113,7 @@
             list.retain(|it| it.1 != id);
         }
         prop_assert!(list.is_empty());
-        prop_assert_eq!(queue.next_late_ms(), None);
+        prop_assert_eq!(queue.next_expiry_ms(), None);
     }
 
     /// Two organisations with tasks waiting throughout get work in proportion
@@ -116,15 +122,15 @@
     fn fair_shares(weights in (1u32..5, 1u32..5), costs in vec((1u32..300, 1u32..300), 400)) {
         let mut queue = Queue::new(4_000);
         for &(first, second) in &costs {
-            let first = Rank { weight: weights.0, cost_ms: first, ..rank(1, 0) };
-            let second = Rank { weight: weights.1, cost_ms: second, ..rank(2, 0) };
+            let first = SchedulingParams { weight: weights.0, cost_ms: first, ..params(1, 0) };
+            let second = SchedulingParams { weight: weights.1, cost_ms: second, ..params(2, 0) };
             prop_assert!(queue.push(first, ()).and(queue.push(second, ())).is_ok());
         }
         let mut served = HashMap::from([(1, 0.0), (2, 0.0)]);
         for _ in 0..200 {
-            let (rank, ()) = next(&mut queue).unwrap();
-            let share = f64::from(rank.cost_ms) / f64::from(rank.weight);
-            *served.get_mut(&rank.organisation.0).unwrap() += share;
+            let (params, ()) = next(&mut queue).unwrap();
+            let share = f64::from(params.cost_ms) / f64::from(params.weight);
+            *served.get_mut(&params.organisation.0).unwrap() += share;
             let bound = 300.0 / f64::from(weights.0) + 300.0 / f64::from(weights.1);
             prop_assert!((served[&1] - served[&2]).abs() <= bound + 1.0);
         }
@@ -137,13 +143,13 @@
         let mut queue = Queue::new(10_000);
         for sequence in 0..flood {
             for organisation in 1..=noisy {
-                prop_assert!(queue.push(rank(organisation, 0), sequence).is_ok());
+                prop_assert!(queue.push(params(organisation, 0), sequence).is_ok());
             }
         }
         for _ in 0..served.min(flood) {
             next(&mut queue);
         }
-        prop_assert!(queue.push(rank(99, 0), 0).is_ok());
+        prop_assert!(queue.push(params(99, 0), 0).is_ok());
         let ahead = queue.backlog(OrganisationKey(99), 0).tasks_ahead();
         let position = (0..).find(|_| next(&mut queue).unwrap().0.organisation.0 == 99).unwrap();
         prop_assert!(position <= noisy);
@@ -157,7 +163,7 @@
         for organisation in 0..noisy {
             let room = queue.room_for(OrganisationKey(organisation));
             let mut taken = 0;
-            while queue.push(rank(organisation, 0), ()).is_ok() {
+            while queue.push(params(organisation, 0), ()).is_ok() {
                 taken += 1;
             }
             prop_assert_eq!(taken, room);
@@ -169,9 +175,9 @@
 #[test]
 fn urgent_first() {
     let mut queue = Queue::new(100);
-    queue.push(rank(1, 2), "background").unwrap();
-    queue.push(rank(1, 1), "normal").unwrap();
-    queue.push(rank(2, 0), "urgent").unwrap();
+    queue.push(params(1, 2), "background").unwrap();
+    queue.push(params(1, 1), "normal").unwrap();
+    queue.push(params(2, 0), "urgent").unwrap();
     let order: Vec<_> = std::iter::from_fn(|| next(&mut queue)).map(|(_, item)| item).collect();
     assert_eq!(order, ["urgent", "normal", "background"]);
 }
@@ -179,37 +185,37 @@
 #[test]
 fn blocked_kind() {
     let mut queue = Queue::new(100);
-    queue.push(rank(1, 0), "blocked").unwrap();
-    queue.push(rank(1, 0), "blocked too").unwrap();
-    queue.push(Rank { kind: KindKey(1), ..rank(1, 0) }, "free").unwrap();
+    queue.push(params(1, 0), "blocked").unwrap();
+    queue.push(params(1, 0), "blocked too").unwrap();
+    queue.push(SchedulingParams { kind: KindKey(1), ..params(1, 0) }, "free").unwrap();
     let mut asked = vec![];
-    let taken = queue.take(9, |rank, item| {
+    let taken = queue.take_first(9, |params, item| {
         asked.push(*item);
-        rank.kind == KindKey(1)
+        params.kind == KindKey(1)
     });
     assert_eq!(taken.unwrap().1, "free");
     assert_eq!(asked, ["blocked", "free"]);
-    assert!(queue.take(0, |_, _| true).is_none());
+    assert!(queue.take_first(0, |_, _| true).is_none());
 }
 
 #[test]
 fn late_comer() {
     let mut queue = Queue::new(10_000);
-    (0..200).for_each(|_| _ = queue.push(rank(1, 0), ()));
+    (0..200).for_each(|_| _ = queue.push(params(1, 0), ()));
     (0..100).for_each(|_| _ = next(&mut queue));
-    (0..100).for_each(|_| _ = queue.push(rank(2, 0), ()));
+    (0..100).for_each(|_| _ = queue.push(params(2, 0), ()));
     let served = std::iter::from_fn(|| next(&mut queue)).take(40);
-    let first = served.filter(|(rank, ())| rank.organisation.0 == 1).count();
+    let first = served.filter(|(params, ())| params.organisation.0 == 1).count();
     assert!((19..=21).contains(&first), "{first}");
 }
 
 #[test]
 fn drained_organisation() {
     let mut queue = Queue::new(100);
-    queue.push(rank(2, 0), "other").unwrap();
-    queue.push(rank(2, 0), "other").unwrap();
+    queue.push(params(2, 0), "other").unwrap();
+    queue.push(params(2, 0), "other").unwrap();
     for _ in 0..3 {
-        queue.push(rank(1, 0), "own").unwrap();
+        queue.push(params(1, 0), "own").unwrap();
         let (first, _) = next(&mut queue).unwrap();
         if first.organisation.0 == 2 {
             return;
--- a/crates/decide/tests/retry.rs
+++ b/crates/decide/tests/retry.rs
@@ -4,7 +4,7 @@
     proptest::{collection::vec, prelude::*, test_runner::RngSeed},
     rand::{SeedableRng, rngs::SmallRng},
     sycamorerail_decide::{
-        hedge::{Hedge, RunningRequest, hedge},
+        hedge::{Hedge, RunningRequest, decide_hedge},
         retry::{FailedAttempt, MAX_SAVED_RETRIES, RetryBudget, backoff_ms, retry_after_ms},
     },
     sycamorerail_wire::answer::Reason,
@@ -105,13 +105,13 @@
         let running = RunningRequest {
             repeatable, prefers_time, attempts, max_attempts, slow_after_us, ..running()
         };
-        match hedge(&running, &budget, free, now_ms) {
+        match decide_hedge(&running, &budget, free, now_ms) {
             Hedge::Now => {
                 prop_assert!(repeatable && prefers_time && free && has_budget);
                 prop_assert!(attempts == 1 && max_attempts > 1 && now_ms < running.deadline_ms);
                 prop_assert!((now_ms - 1_000) * 1_000 >= slow_after_us.unwrap());
             }
-            Hedge::At(at_ms) => prop_assert!(at_ms > now_ms && repeatable && prefers_time),
+            Hedge::RecheckAt(at_ms) => prop_assert!(at_ms > now_ms && repeatable && prefers_time),
             Hedge::Never => {}
         }
     }
@@ -137,13 +137,13 @@
 #[test]
 fn hedge_times() {
     let budget = RetryBudget::default();
-    assert_eq!(hedge(&running(), &budget, true, 1_000), Hedge::At(1_200));
-    assert_eq!(hedge(&running(), &budget, true, 1_200), Hedge::Now);
-    assert_eq!(hedge(&running(), &budget, false, 1_200), Hedge::At(1_400));
-    assert_eq!(hedge(&running(), &spent(), true, 1_200), Hedge::At(1_400));
-    assert_eq!(hedge(&running(), &budget, true, 5_000), Hedge::Never);
+    assert_eq!(decide_hedge(&running(), &budget, true, 1_000), Hedge::RecheckAt(1_200));
+    assert_eq!(decide_hedge(&running(), &budget, true, 1_200), Hedge::Now);
+    assert_eq!(decide_hedge(&running(), &budget, false, 1_200), Hedge::RecheckAt(1_400));
+    assert_eq!(decide_hedge(&running(), &spent(), true, 1_200), Hedge::RecheckAt(1_400));
+    assert_eq!(decide_hedge(&running(), &budget, true, 5_000), Hedge::Never);
     let hedged = RunningRequest { attempts: 2, max_attempts: 3, ..running() };
-    assert_eq!(hedge(&hedged, &budget, true, 1_200), Hedge::Never);
+    assert_eq!(decide_hedge(&hedged, &budget, true, 1_200), Hedge::Never);
     let unknown = RunningRequest { slow_after_us: None, ..running() };
-    assert_eq!(hedge(&unknown, &budget, true, 4_000), Hedge::Never);
+    assert_eq!(decide_hedge(&unknown, &budget, true, 4_000), Hedge::Never);
 }
--- a/crates/decide/tests/share.rs
+++ b/crates/decide/tests/share.rs
@@ -3,7 +3,7 @@
 use {
     proptest::{collection::vec, prelude::*, test_runner::RngSeed},
     std::collections::HashMap,
-    sycamorerail_decide::share::{FRESH_MS, Quota, Shares},
+    sycamorerail_decide::share::{Quota, QuotaShares, REPORT_VALID_MS},
     sycamorerail_wire::ids::{Incarnation, OrganisationKey},
 };
 
@@ -12,7 +12,7 @@
 
 struct Entries {
     ids: Vec<Incarnation>,
-    shares: Vec<Shares>,
+    shares: Vec<QuotaShares>,
     /// Number of the report of the first that the second holds.
     held: HashMap<(usize, usize), u64>,
     /// Organisations named in all reports.
@@ -23,7 +23,7 @@
 impl Entries {
     fn new(count: usize) -> Self {
         let ids: Vec<_> = (0..count as u64).map(Incarnation).collect();
-        let shares = ids.iter().map(|id| Shares::new(*id)).collect();
+        let shares = ids.iter().map(|id| QuotaShares::new(*id)).collect();
         Self { ids, shares, held: HashMap::new(), named: 0, now_ms: 1_000 }
     }
 
@@ -43,16 +43,16 @@
     fn tell(&mut self, from: usize, to: usize) {
         let held = self.held.get(&(from, to)).copied().unwrap_or(0);
         let mut report = self.shares[from].report(held);
-        if !self.shares[to].hear(&report, self.now_ms) {
+        if !self.shares[to].receive_report(&report, self.now_ms) {
             report = self.shares[from].report(0);
-            assert!(self.shares[to].hear(&report, self.now_ms), "all is taken");
+            assert!(self.shares[to].receive_report(&report, self.now_ms), "all is taken");
         }
         self.named += report.starts_per_s.len();
         self.held.insert((from, to), report.number);
     }
 
     fn fractions(&self) -> Vec<f64> {
-        let of = |it: &Shares| it.fraction(ORGANISATION, &self.ids, self.now_ms);
+        let of = |it: &QuotaShares| it.fraction(ORGANISATION, &self.ids, self.now_ms);
         self.shares.iter().map(of).collect()
     }
 }
@@ -75,7 +75,7 @@
         let mut entries = Entries::new(count);
         for (demand, side) in windows {
             // A side is cut for longer than reports stay fresh.
-            entries.now_ms += FRESH_MS;
+            entries.now_ms += REPORT_VALID_MS;
             entries.window(&demand, &side);
             let fractions = entries.fractions();
             prop_assert!((fractions.iter().sum::<f64>() - 1.0).abs() < 1e-9);
@@ -134,7 +134,7 @@
     let mut entries = Entries::new(2);
     entries.window(&[900, 0], &[0, 0]);
     assert_eq!(entries.fractions(), [0.9, 0.1]);
-    entries.now_ms += FRESH_MS + 1;
+    entries.now_ms += REPORT_VALID_MS + 1;
     assert_eq!(entries.fractions(), [0.5, 0.5]);
 }
 
@@ -165,9 +165,9 @@
     let mut entries = Entries::new(2);
     entries.window(&[900, 0], &[0, 0]);
     // The second has forgotten what it held of the first.
-    entries.shares[1] = Shares::new(entries.ids[1]);
+    entries.shares[1] = QuotaShares::new(entries.ids[1]);
     let changes = entries.shares[0].report(entries.held[&(0, 1)]);
-    assert!(!entries.shares[1].hear(&changes, entries.now_ms), "changes to nothing");
+    assert!(!entries.shares[1].receive_report(&changes, entries.now_ms), "changes to nothing");
     entries.window(&[900, 0], &[0, 0]);
     assert_eq!(entries.fractions(), [0.9, 0.1]);
 }
--- a/crates/entry/src/dispatch/admit.rs
+++ b/crates/entry/src/dispatch/admit.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        choose::ask,
+        choose::placement_query,
         kinds::{KindNumbers, numbers},
     },
     crate::{
@@ -11,7 +11,7 @@
         shared::Shared,
     },
     std::sync::Arc,
-    sycamorerail_decide::admission::{self, Submitted},
+    sycamorerail_decide::admission::{self, AdmissionRequest},
     sycamorerail_wire::{answer::Reason, message::Submission},
 };
 
@@ -29,11 +29,10 @@
 ) -> Result<(), Refused> {
     let numbers = numbers(shared, kind);
     let tasks = u16::try_from(submission.payloads.len()).unwrap_or(u16::MAX);
-    let submitted =
-        submitted(shared, organisation, kind, &numbers, (tasks, submission.deadline_ms));
+    let request = request(shared, organisation, kind, &numbers, (tasks, submission.deadline_ms));
     let limit = shared.dispatch.quotas.limit(organisation);
     let view = &shared.upstreams.snapshot().view;
-    admission::admit(&submitted, &limit, view, &numbers.forecast, shared.now_ms())
+    admission::admit(&request, &limit, view, &numbers.forecast, shared.now_ms())
         .map_err(|refusal| refused(&refusal, kind))
 }
 
@@ -50,7 +49,7 @@
     deadline_ms: Option<u32>,
 ) -> Result<(), Refused> {
     let numbers = numbers(shared, kind);
-    let submitted = submitted(shared, organisation, kind, &numbers, (tasks, deadline_ms));
+    let request = request(shared, organisation, kind, &numbers, (tasks, deadline_ms));
     let now_ms = shared.now_ms();
     let view = &shared.upstreams.snapshot().view;
     shared
@@ -58,22 +57,22 @@
         .quotas
         .limit(organisation)
         .check(tasks, now_ms)
-        .and_then(|()| admission::check_placeable(&submitted, view, now_ms))
-        .and_then(|()| admission::check_room(&submitted, &numbers.forecast))
-        .and_then(|()| admission::check_deadline(&submitted, &numbers.forecast))
+        .and_then(|()| admission::check_placeable(&request, view, now_ms))
+        .and_then(|()| admission::check_room(&request, &numbers.forecast))
+        .and_then(|()| admission::check_deadline(&request, &numbers.forecast))
         .map_err(|refusal| refused(&refusal, kind))
 }
 
-fn submitted<'a>(
+fn request<'a>(
     shared: &Shared,
     organisation: &Organisation,
     kind: &'a Kind,
     numbers: &KindNumbers,
     (tasks, deadline_ms): (u16, Option<u32>),
-) -> Submitted<'a> {
+) -> AdmissionRequest<'a> {
     let (queue_room, backlog) = shared.dispatch.room(organisation.key, kind.urgency);
-    Submitted {
-        ask: ask(shared, kind, numbers, &[], &[]),
+    AdmissionRequest {
+        query: placement_query(shared, kind, numbers, &[], &[]),
         tasks,
         deadline_ms: deadline_ms.map_or(kind.deadline_ms, |ms| ms.min(kind.deadline_ms)),
         least_run_ms: numbers.least_run_ms,
--- a/crates/entry/src/dispatch/choose.rs
+++ b/crates/entry/src/dispatch/choose.rs
@@ -5,7 +5,7 @@
     crate::{jobs::JobCell, organisations::Kind, shared::Shared, upstreams::Snapshot},
     std::sync::LazyLock,
     sycamorerail_decide::{
-        placement::{Ask, Choice, Policy},
+        placement::{Choice, PlacementQuery, Policy},
         view::{RackKey, UpstreamKey},
     },
     sycamorerail_settings::template::PolicyTemplate,
@@ -49,14 +49,14 @@
 }
 
 /// What a task of the kind needs.
-pub(super) fn ask<'a>(
+pub(super) fn placement_query<'a>(
     shared: &Shared,
     kind: &'a Kind,
     numbers: &KindNumbers,
     tried: &'a [UpstreamKey],
     siblings: &'a [(RackKey, u16)],
-) -> Ask<'a> {
-    Ask {
+) -> PlacementQuery<'a> {
+    PlacementQuery {
         kind: kind.key,
         size_bytes: numbers.size_bytes,
         run_ms: numbers.run_ms,
@@ -79,10 +79,10 @@
 ) -> Choice {
     let siblings = cell.siblings.lock().clone();
     let kind = &cell.kind;
-    let ask = ask(shared, kind, &numbers(shared, kind), avoid, &siblings);
+    let query = placement_query(shared, kind, &numbers(shared, kind), avoid, &siblings);
     let view = snapshot.view_for(cell.id.incarnation);
     match policy(kind) {
-        Some(policy) => (policy.choose)(&view, &ask, &mut rand::rng(), now_ms),
+        Some(policy) => (policy.choose)(&view, &query, &mut rand::rng(), now_ms),
         None => Choice::Never,
     }
 }
--- a/crates/entry/src/dispatch/kinds.rs
+++ b/crates/entry/src/dispatch/kinds.rs
@@ -2,7 +2,7 @@
 //! that are asked for.
 
 use {
-    super::choose::ask,
+    super::choose::placement_query,
     crate::{organisations::Kind, shared::Shared},
     dashmap::DashMap,
     sycamorerail_decide::{admission::forecast::Forecast, view::KindKey},
@@ -59,8 +59,8 @@
     let drain_per_s = shared.dispatch.drain_per_s(now_ms);
     let entries = u32::try_from(shared.members.load().entries.len()).unwrap_or(u32::MAX);
     let view = &shared.upstreams.snapshot().view;
-    let ask = ask(shared, kind, &made, &[], &[]);
-    made.forecast = Forecast::new(view, &ask, None, entries, now_ms);
+    let query = placement_query(shared, kind, &made, &[], &[]);
+    made.forecast = Forecast::new(view, &query, None, entries, now_ms);
     // The queue's own pace is short-sighted where tasks run for longer than it
     // looks back. It counts where it is higher: other entries use less.
     if let Some(drain_per_s) = drain_per_s {
--- a/crates/entry/src/dispatch/observe.rs
+++ b/crates/entry/src/dispatch/observe.rs
@@ -22,7 +22,7 @@
     tokio::sync::watch,
 };
 
-pub use sycamorerail_decide::ejection::Service;
+pub use sycamorerail_decide::ejection::EjectionState;
 
 /// Pause between looks at ejected upstreams.
 const LOOK_PERIOD: Duration = Duration::from_millis(250);
@@ -73,9 +73,11 @@
         let observed = self
             .succeeded
             .and_then(|succeeded| ejections.observe(agent.key, kind, succeeded, now_ms));
-        let probed =
-            self.probe.then(|| ejections.probe_ended(agent.key, self.succeeded, now_ms)).flatten();
-        shared.dispatch.note_out(ejections.out());
+        let probed = self
+            .probe
+            .then(|| ejections.record_probe_end(agent.key, self.succeeded, now_ms))
+            .flatten();
+        shared.dispatch.note_out(ejections.ejected_count());
         drop(ejections);
         for service in [observed, probed].into_iter().flatten() {
             put(agent, service);
@@ -83,9 +85,9 @@
     }
 }
 
-fn put(agent: &Agent, service: Service) {
+fn put(agent: &Agent, service: EjectionState) {
     event!(Warn, "upstream_service", agent = agent.peer, service = format_args!("{service:?}"));
-    ejection::apply(service, &agent.live);
+    ejection::publish(service, &agent.live);
 }
 
 /// A task ran to its end at an upstream.
@@ -119,7 +121,7 @@
     let mut ejections = shared.dispatch.ejections.lock();
     after.difference(&before).for_each(|&key| ejections.add(key));
     before.difference(&after).for_each(|&key| ejections.remove(key));
-    shared.dispatch.note_out(ejections.out());
+    shared.dispatch.note_out(ejections.ejected_count());
     drop(ejections);
     let mut estimates = shared.dispatch.estimates.lock();
     before.difference(&after).for_each(|&key| estimates.forget_upstream(key));
--- a/crates/entry/src/dispatch/pace.rs
+++ b/crates/entry/src/dispatch/pace.rs
@@ -4,7 +4,7 @@
     super::kinds::numbers,
     crate::{counters, jobs::JobCell, shared::Shared},
     sycamorerail_decide::{
-        hedge::{Hedge, RunningRequest, hedge},
+        hedge::{Hedge, RunningRequest, decide_hedge},
         job::{JobParameters, RetryKind},
         retry::{FailedAttempt, backoff_ms, retry_after_ms},
     },
@@ -78,7 +78,7 @@
         deadline_ms: parameters.deadline_at_ms,
     };
     let has_free_slot = numbers.forecast.free_slots > shared.dispatch.waiting();
-    let decided = hedge(&running, &cell.retries, has_free_slot, shared.now_ms());
+    let decided = decide_hedge(&running, &cell.retries, has_free_slot, shared.now_ms());
     (decided == Hedge::Now).then_some(0)
 }
 
--- a/crates/entry/src/dispatch/probe.rs
+++ b/crates/entry/src/dispatch/probe.rs
@@ -24,7 +24,7 @@
         let row = snapshot.view.row(key);
         let may_use = snapshot.may_use(key, cell.id.incarnation) && !avoid.contains(&key);
         let serves = row.is_some_and(|row| {
-            row.could_hold(cell.kind.key, size_bytes)
+            row.can_serve(cell.kind.key, size_bytes)
                 && !row.live.leaving.load(Ordering::Acquire)
                 && !row.live.evacuated.load(Ordering::Acquire)
         });
--- a/crates/entry/src/dispatch/queue.rs
+++ b/crates/entry/src/dispatch/queue.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        choose::ask,
+        choose::placement_query,
         kinds::{Kinds, numbers},
         place::{Tried, try_place},
         quota::Quotas,
@@ -24,7 +24,7 @@
         ejection::Ejections,
         estimate::Estimates,
         job::{Event, TaskAttempt},
-        queue::{Backlog, Queue, Rank},
+        queue::{Backlog, Queue, SchedulingParams},
     },
     sycamorerail_settings::entry::LimitSettings,
     sycamorerail_wire::{
@@ -137,13 +137,13 @@
         metrics::gauge!("sycamorerail_queued_tasks").set(queue.len());
     }
 
-    fn push(&self, rank: Rank, waiting: Waiting, now_ms: u64) -> Result<(), Waiting> {
+    fn push(&self, params: SchedulingParams, waiting: Waiting, now_ms: u64) -> Result<(), Waiting> {
         let cell = Arc::clone(&waiting.cell);
         let mut queue = self.queue.lock();
         if queue.is_empty() {
             self.drain_rate.lock().clear(now_ms);
         }
-        let key = queue.push(rank, waiting)?;
+        let key = queue.push(params, waiting)?;
         cell.queued.lock().push(key);
         self.note_count(&queue);
         self.filled.notify_one();
@@ -164,7 +164,7 @@
         return;
     }
     let waiting = Waiting { cell: Arc::clone(cell), task };
-    match dispatch.push(rank(shared, cell), waiting, shared.now_ms()) {
+    match dispatch.push(scheduling_params(shared, cell), waiting, shared.now_ms()) {
         // A slot may have been freed since there was none.
         Ok(()) => pump(shared),
         Err(waiting) => enqueue_after(shared, &waiting.cell, waiting.task, ASIDE_MS),
@@ -185,9 +185,9 @@
     });
 }
 
-fn rank(shared: &Shared, cell: &JobCell) -> Rank {
+fn scheduling_params(shared: &Shared, cell: &JobCell) -> SchedulingParams {
     let numbers = numbers(shared, &cell.kind);
-    Rank {
+    SchedulingParams {
         organisation: cell.organisation.key,
         kind: cell.kind.key,
         urgency: cell.kind.urgency,
@@ -232,7 +232,7 @@
     let mut sent = 0;
     loop {
         let mut tried = Tried::Dropped;
-        let taken = queue.take(MAX_TRIES, |_, waiting| {
+        let taken = queue.take_first(MAX_TRIES, |_, waiting| {
             tried = try_place(shared, &waiting.cell, waiting.task);
             tried != Tried::Wait { restricted: false }
         });
@@ -271,16 +271,16 @@
         }
         give_up_late(&shared);
         give_up_evacuated(&shared);
-        doubt_full(&shared);
+        assume_slot_if_stale(&shared);
         pump(&shared);
     }
 }
 
 /// Tasks wait: upstreams reported full some time ago may be so no more.
-fn doubt_full(shared: &Shared) {
+fn assume_slot_if_stale(shared: &Shared) {
     let now_ms = shared.now_ms();
     let snapshot = shared.upstreams.snapshot();
-    snapshot.view.rows.iter().for_each(|row| row.live.doubt_full(now_ms));
+    snapshot.view.rows.iter().for_each(|row| row.live.assume_slot_if_stale(now_ms));
 }
 
 /// Data centres were evacuated or taken back.
@@ -298,13 +298,13 @@
     }
     let snapshot = shared.upstreams.snapshot();
     let is_nowhere = |cell: &JobCell| {
-        let ask = ask(shared, &cell.kind, &numbers(shared, &cell.kind), &[], &[]);
-        is_evacuated(&ask, &snapshot.view)
+        let query = placement_query(shared, &cell.kind, &numbers(shared, &cell.kind), &[], &[]);
+        is_evacuated(&query, &snapshot.view)
     };
     loop {
         let given_up = {
             let mut queue = shared.dispatch.queue.lock();
-            let given_up = queue.take(usize::MAX, |_, waiting| {
+            let given_up = queue.take_first(usize::MAX, |_, waiting| {
                 is_nowhere(&waiting.cell) && waiting.cell.state.lock().is_entirely_waiting()
             });
             shared.dispatch.note_count(&queue);
@@ -321,7 +321,7 @@
     loop {
         let late = {
             let mut queue = shared.dispatch.queue.lock();
-            let late = queue.take_late(shared.now_ms());
+            let late = queue.take_expired(shared.now_ms());
             shared.dispatch.note_count(&queue);
             late
         };
--- a/crates/entry/src/dispatch/quota.rs
+++ b/crates/entry/src/dispatch/quota.rs
@@ -8,7 +8,7 @@
     sycamorerail_decide::{
         admission::limit::{OrganisationLimit, QuotaPart},
         retry::RetryBudget,
-        share::{FRESH_MS, Quota, Shares},
+        share::{Quota, QuotaShares, REPORT_VALID_MS},
     },
     sycamorerail_wire::{
         ids::{Incarnation, OrganisationKey},
@@ -25,7 +25,7 @@
 
 #[derive(Debug)]
 struct Window {
-    shares: Shares,
+    shares: QuotaShares,
     own: Incarnation,
     heard_at_ms: HashMap<Incarnation, u64>,
     closed_at_ms: u64,
@@ -42,8 +42,12 @@
     /// Nothing was used yet.
     #[must_use]
     pub fn new(own: Incarnation) -> Self {
-        let window =
-            Window { shares: Shares::new(own), own, heard_at_ms: HashMap::new(), closed_at_ms: 0 };
+        let window = Window {
+            shares: QuotaShares::new(own),
+            own,
+            heard_at_ms: HashMap::new(),
+            closed_at_ms: 0,
+        };
         Self { accounts: DashMap::new(), window: Mutex::new(window) }
     }
 
@@ -89,7 +93,7 @@
     /// other run stands for them.
     fn entries(&self, shared: &Shared, now_ms: u64) -> Vec<Incarnation> {
         let mut window = self.window.lock();
-        window.heard_at_ms.retain(|_, at_ms| *at_ms + FRESH_MS >= now_ms);
+        window.heard_at_ms.retain(|_, at_ms| *at_ms + REPORT_VALID_MS >= now_ms);
         let mut entries = vec![window.own];
         entries.extend(window.heard_at_ms.keys().copied());
         let known = shared.members.load().entries.len();
@@ -116,7 +120,7 @@
     let asked: Vec<_> = quotas
         .accounts
         .iter()
-        .map(|account| (*account.key(), account.limit.take_asked()))
+        .map(|account| (*account.key(), account.limit.take_requested()))
         .collect();
     let number = {
         let mut window = quotas.window.lock();
@@ -144,5 +148,5 @@
         return true;
     }
     window.heard_at_ms.insert(report.entry, now_ms);
-    window.shares.hear(report, now_ms)
+    window.shares.receive_report(report, now_ms)
 }
--- a/crates/entry/src/peers/gossip.rs
+++ b/crates/entry/src/peers/gossip.rs
@@ -10,7 +10,7 @@
         sync::{Arc, Weak},
         time::Duration,
     },
-    sycamorerail_decide::share::REFRESH_MS,
+    sycamorerail_decide::share::REFRESH_INTERVAL_MS,
     sycamorerail_wire::message::{EntryReplyBody, ToEntry},
     tokio::time::sleep,
 };
@@ -38,7 +38,7 @@
         let now_ms = shared.now_ms();
         let tell = |address: SocketAddr| {
             let known = held.get(&address).copied().unwrap_or_default();
-            let due = known.number != number || now_ms >= known.told_at_ms + REFRESH_MS;
+            let due = known.number != number || now_ms >= known.told_at_ms + REFRESH_INTERVAL_MS;
             let (inner, shared) = (&inner, &shared);
             async move { (address, if due { inner.tell(shared, address, known).await } else { known }) }
         };
--- a/crates/entry/src/upstreams/agent.rs
+++ b/crates/entry/src/upstreams/agent.rs
@@ -8,7 +8,9 @@
         Arc,
         atomic::{AtomicBool, AtomicU64, Ordering},
     },
-    sycamorerail_decide::view::{DataCentreKey, KindKey, Live, RackKey, Row, UpstreamKey},
+    sycamorerail_decide::view::{
+        DataCentreKey, KindKey, LiveState, RackKey, UpstreamKey, UpstreamRow,
+    },
     sycamorerail_wire::{
         ids::Incarnation,
         message::{AgentIdentity, Load, UpstreamInfo},
@@ -30,7 +32,7 @@
     /// Its name, for answers and logs.
     pub peer: Arc<str>,
     /// Load and health.
-    pub live: Arc<Live>,
+    pub live: Arc<LiveState>,
     pub(super) link: watch::Sender<Link>,
     pub(super) outbox: Mutex<Outbox>,
     pub(super) probing: AtomicBool,
@@ -105,11 +107,11 @@
     }
 
     /// Its row in the view, given the kinds of the templates in force.
-    pub(super) fn row(&self, known_kinds: &[(String, KindKey)]) -> Option<Row> {
+    pub(super) fn row(&self, known_kinds: &[(String, KindKey)]) -> Option<UpstreamRow> {
         self.usable_by()?;
         let upstream = self.upstream.lock();
         let upstream = upstream.as_ref()?;
-        Some(Row {
+        Some(UpstreamRow {
             key: self.key,
             data_centre: self.data_centre,
             rack: self.rack,
--- a/crates/entry/src/upstreams/snapshot.rs
+++ b/crates/entry/src/upstreams/snapshot.rs
@@ -3,7 +3,7 @@
 use {
     super::agent::Agent,
     std::{borrow::Cow, sync::Arc},
-    sycamorerail_decide::view::{Row, UpstreamKey, View},
+    sycamorerail_decide::view::{UpstreamKey, UpstreamRow, View},
     sycamorerail_wire::ids::Incarnation,
 };
 
@@ -33,7 +33,7 @@
         if self.usable_by == Some(home) {
             return Cow::Borrowed(&self.view);
         }
-        let may_use = |row: &&Row| self.may_use(row.key, home);
+        let may_use = |row: &&UpstreamRow| self.may_use(row.key, home);
         let rows = self.view.rows.iter().filter(may_use).cloned().collect();
         Cow::Owned(View { rows })
     }
