--- a/crates/decide/examples/choose_cost.rs
+++ b/crates/decide/examples/choose_cost.rs
@@ -1,9 +1,9 @@
-//! Measures what one choice costs at the size of the fleet.
+//! Measures the cost of one placement choice in a large fleet.
 //!
 //! `cargo run --release -p sycamorerail-decide --example choose_cost`
 //!
-//! Prints one line a policy and state of the fleet: the median and the best
-//! batch mean in nanoseconds, on one thread.
+//! Prints one line for each policy and fleet state: the median and the best batch
+//! mean in nanoseconds, on one thread.
 
 use {
     rand::{Rng, SeedableRng, rngs::SmallRng},
@@ -15,20 +15,20 @@
 };
 
 const ROWS: u32 = 1_100;
-const ROWS_A_RACK: u32 = 3;
+const ROWS_PER_RACK: u32 = 3;
 const DATA_CENTRES: u32 = 4;
 const SLOTS: u32 = 8;
 const BATCHES: u32 = 31;
-const CHOICES_A_BATCH: u32 = 300;
+const CHOICES_PER_BATCH: u32 = 300;
 
-/// A state of the fleet.
+/// A state of the fleet to measure.
 struct Fleet {
     name: &'static str,
-    /// Share of the rows with a free slot.
+    /// Fraction of the rows with a free slot.
     free_share: f64,
-    /// Rows list the kinds they serve.
+    /// Whether rows list the kinds that they serve.
     lists_kinds: bool,
-    /// Siblings placed before.
+    /// Number of siblings placed before.
     siblings: u16,
 }
 
@@ -75,10 +75,10 @@
         max_queued: 4,
     };
     let begin = Instant::now();
-    for now_ms in 0..u64::from(CHOICES_A_BATCH) {
+    for now_ms in 0..u64::from(CHOICES_PER_BATCH) {
         black_box((policy.choose)(black_box(view), black_box(&query), rng, now_ms));
     }
-    begin.elapsed().as_nanos() as f64 / f64::from(CHOICES_A_BATCH)
+    begin.elapsed().as_nanos() as f64 / f64::from(CHOICES_PER_BATCH)
 }
 
 fn view(fleet: &Fleet, rng: &mut SmallRng) -> View {
@@ -86,7 +86,7 @@
 }
 
 fn row(key: u32, fleet: &Fleet, rng: &mut SmallRng) -> UpstreamRow {
-    let rack = key / ROWS_A_RACK;
+    let rack = key / ROWS_PER_RACK;
     let live = LiveState::default();
     let free = rng.random_bool(fleet.free_share);
     live.slots.store(SLOTS, Relaxed);
--- a/crates/decide/src/ack_tracker.rs
+++ b/crates/decide/src/ack_tracker.rs
@@ -1,14 +1,15 @@
-//! Whether a peer hears us: the send time of our last message that it confirmed.
+//! Tracks which messages a peer has acknowledged, to detect that ours no longer
+//! arrive.
 //!
-//! A connection that is cut one way still brings the peer's messages. Only what
-//! the peer says it heard shows that ours arrive.
+//! A connection that fails in one direction still delivers the peer's messages.
+//! Only the peer's acknowledgements show that ours arrive.
 
 use std::collections::VecDeque;
 
-/// Send times kept at most; beyond them every other one is let go.
+/// Maximum number of send times kept. Beyond it, every other one is dropped.
 const MAX_SENT: usize = 256;
 
-/// Messages of one connection, counted from 1.
+/// Send times of the messages of one connection, numbered from 1.
 #[derive(Clone, Debug)]
 pub struct AckTracker {
     sent: VecDeque<(/* message */ u64, /* sent_ms */ u64)>,
@@ -17,13 +18,13 @@
 }
 
 impl AckTracker {
-    /// A connection that was made now.
+    /// Starts tracking a connection that was established now.
     #[must_use]
     pub fn new(now_ms: u64) -> Self {
         Self { sent: VecDeque::new(), count: 0, acked_sent_ms: now_ms }
     }
 
-    /// Counts a message that is sent now; returns its number.
+    /// Records a message that is sent now and returns its number.
     pub fn record_sent(&mut self, now_ms: u64) -> u64 {
         self.count += 1;
         if self.sent.len() >= MAX_SENT {
@@ -37,7 +38,7 @@
         self.count
     }
 
-    /// The peer has heard so many messages.
+    /// Records that the peer has received the first `count` messages.
     pub fn record_ack(&mut self, count: u64) {
         while let Some((_, sent_ms)) = self.sent.front().filter(|(number, _)| *number <= count) {
             self.acked_sent_ms = *sent_ms;
@@ -45,7 +46,8 @@
         }
     }
 
-    /// When the last message was sent that the peer confirmed.
+    /// Returns when the last acknowledged message was sent, in monotonic
+    /// milliseconds; the start of the connection if there is none.
     #[must_use]
     pub fn acked_sent_ms(&self) -> u64 {
         self.acked_sent_ms
--- a/crates/decide/src/admission/mod.rs
+++ b/crates/decide/src/admission/mod.rs
@@ -1,17 +1,18 @@
-//! Whether a submission is taken, or refused at once and why.
+//! Admission control: admits a submission, or refuses it at once with a reason.
 //!
-//! A refusal costs the caller one round trip and the system nothing else; a
-//! submission taken and then failed at its deadline costs everyone. So what
-//! can't be met is refused before it is placed or queued, with the time after
-//! which it is worth coming back.
+//! A refusal costs the caller one round trip and the system nothing else. A
+//! submission that is admitted and then misses its deadline wastes capacity that
+//! others could use. Submissions that cannot succeed are therefore refused
+//! before they are placed or queued, with the delay after which a retry makes
+//! sense.
 //!
-//! - [`limit`] holds an organisation to its quota;
-//! - [`forecast`] tells how long a task would wait;
-//! - [`admit`] asks both, the cheapest check first.
+//! - [`limit`] enforces an organisation's quota;
+//! - [`forecast`] estimates how long a task would wait;
+//! - [`admit`] applies both, the cheapest check first.
 //!
-//! Fairness between organisations under burst has two parts: the quota bounds
-//! what each may ask for, and the waiting queue (see [`crate::queue`]) shares
-//! out slots and room when all quotas together exceed the fleet.
+//! Two mechanisms keep organisations fair to each other under bursts: the quota
+//! bounds what each may request, and the waiting queue (see [`crate::queue`])
+//! divides slots and queue room when all quotas together exceed the fleet.
 
 pub mod forecast;
 pub mod limit;
@@ -29,71 +30,72 @@
     sycamorerail_wire::answer::Reason,
 };
 
-/// When to come back while no upstream takes work, in milliseconds: about the
-/// time an upstream needs to announce itself or to come back from ejection.
+/// Retry delay while no upstream accepts work, in milliseconds: about the time
+/// that an upstream needs to announce itself or to return from ejection.
 pub const NO_UPSTREAM_RETRY_AFTER_MS: u64 = 1_000;
 
-/// Bounds of the time after which a refused caller is told to come back, in
-/// milliseconds: sooner makes a storm of retries, later leaves slots idle.
+/// Shortest and longest retry delay, in milliseconds: a shorter one causes a
+/// storm of retries, a longer one leaves slots idle.
 pub const RETRY_AFTER_MS: (u64, u64) = (5, 10_000);
 
-/// Part of a forecast wait that is added to it: one taken and then late has
-/// held its caller and often slots for nothing, which costs more than a refusal.
-const WAIT_MARGIN_PART: u64 = 4;
+/// The forecast wait is extended by one part in this many, because a task that
+/// is admitted and then late costs more than a refusal: it has occupied its
+/// caller, and often slots, for nothing.
+const WAIT_MARGIN_DIVISOR: u64 = 4;
 
-/// Why a submission is not taken. Nothing of it runs.
+/// Why a submission is refused. None of its tasks runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why.
+    /// The reason that the caller is told.
     pub reason: Reason,
-    /// When it is worth coming back, in milliseconds; `None` if never.
+    /// Delay after which a retry makes sense, in milliseconds; `None` if never.
     pub retry_after_ms: Option<u64>,
 }
 
 impl Refusal {
-    /// A refusal; the time to come back is kept within [`RETRY_AFTER_MS`].
+    /// Creates a temporary refusal. The delay is clamped to [`RETRY_AFTER_MS`].
     #[must_use]
     pub fn retry_later(reason: Reason, retry_after_ms: u64) -> Self {
         let (least_ms, most_ms) = RETRY_AFTER_MS;
         Self { reason, retry_after_ms: Some(retry_after_ms.clamp(least_ms, most_ms)) }
     }
 
-    /// A refusal of what can't be taken later either.
+    /// Creates a refusal that a later retry cannot change.
     #[must_use]
     pub fn permanent(reason: Reason) -> Self {
         Self { reason, retry_after_ms: None }
     }
 }
 
-/// A submission that asks to be taken.
+/// A submission to be admitted.
 #[derive(Clone, Copy, Debug)]
 pub struct AdmissionRequest<'a> {
-    /// What each of its tasks needs.
+    /// Requirements of each of its tasks.
     pub query: PlacementQuery<'a>,
-    /// Its tasks.
+    /// Number of its tasks.
     pub tasks: u16,
     /// Time left until its deadline, in milliseconds.
     pub deadline_ms: u32,
-    /// Shortest run time to be counted on, in milliseconds: a low percentile of
-    /// fresh observations, 0 without. A declared run time must not stand here,
-    /// for a wrong one would refuse every request and never be corrected.
+    /// Shortest expected run time, in milliseconds: a low percentile of recent
+    /// observations, 0 without any. It must not be a declared run time: a wrong
+    /// declaration would refuse every request and never be corrected.
     pub least_run_ms: u32,
-    /// Tasks that its organisation may still add to the waiting queue.
+    /// Number of tasks that its organisation may still add to the waiting queue.
     pub queue_room: u32,
-    /// What waits before it.
+    /// Waiting tasks ahead of it.
     pub backlog: Backlog,
 }
 
-/// Takes a submission or refuses it. What is taken counts against the quota
-/// until its tasks are released.
+/// Admits or refuses a submission. Admitted tasks count against the quota until
+/// they are released.
 ///
-/// Refused by the quota first, so that a flood costs a few loads of atomics
-/// each; the quota is charged last, so that a refusal for another reason leaves
-/// it to others of the organisation.
+/// The quota is checked first, so that each refusal in a flood costs only a few
+/// atomic loads. It is charged last, so that a refusal for another reason
+/// consumes none of it.
 ///
 /// # Errors
 ///
-/// Why it is not taken.
+/// Returns the refusal if the submission is not admitted.
 pub fn admit(
     request: &AdmissionRequest<'_>,
     limit: &OrganisationLimit,
@@ -109,12 +111,12 @@
     limit.take(request.tasks, now_ms)
 }
 
-/// Whether some upstream takes work of the kind now, and if not, whether one
-/// ever could.
+/// Checks that some upstream accepts work of the kind now.
 ///
 /// # Errors
 ///
-/// `NoUpstream`, `Evacuated` or `NeverPlaceable`.
+/// `NeverPlaceable` if no known upstream could ever run the tasks, `Evacuated` if
+/// all that could are in evacuated data centres, otherwise `NoUpstream`.
 pub fn check_placeable(
     request: &AdmissionRequest<'_>,
     view: &View,
@@ -122,11 +124,11 @@
 ) -> Result<(), Refusal> {
     let query = &request.query;
     let rule = SpreadRule::new(view, query);
-    let mut can_serve = view.rows.iter().filter(|row| could_go_to(row, query, &rule)).peekable();
-    if !view.rows.is_empty() && can_serve.peek().is_none() {
+    let mut eligible = view.rows.iter().filter(|row| is_eligible(row, query, &rule)).peekable();
+    if !view.rows.is_empty() && eligible.peek().is_none() {
         return Err(Refusal::permanent(Reason::NeverPlaceable));
     }
-    if can_serve.any(|row| row.takes_work(now_ms)) {
+    if eligible.any(|row| row.takes_work(now_ms)) {
         return Ok(());
     }
     if is_evacuated(query, view) {
@@ -135,27 +137,27 @@
     Err(Refusal::retry_later(Reason::NoUpstream, NO_UPSTREAM_RETRY_AFTER_MS))
 }
 
-/// Whether some upstream could serve that is not leaving, and all of these are in
-/// evacuated data centres.
+/// Returns whether there are upstreams that could serve the query and are not
+/// leaving, and all of them are in evacuated data centres.
 #[must_use]
 pub fn is_evacuated(query: &PlacementQuery<'_>, view: &View) -> bool {
     let rule = SpreadRule::new(view, query);
-    let stays = |row: &&UpstreamRow| {
-        could_go_to(row, query, &rule) && !row.live.leaving.load(Ordering::Acquire)
+    let is_staying = |row: &&UpstreamRow| {
+        is_eligible(row, query, &rule) && !row.live.leaving.load(Ordering::Acquire)
     };
-    let mut staying = view.rows.iter().filter(stays).peekable();
+    let mut staying = view.rows.iter().filter(is_staying).peekable();
     staying.peek().is_some() && staying.all(|row| row.live.evacuated.load(Ordering::Acquire))
 }
 
-fn could_go_to(row: &UpstreamRow, query: &PlacementQuery<'_>, rule: &SpreadRule<'_>) -> bool {
+fn is_eligible(row: &UpstreamRow, query: &PlacementQuery<'_>, rule: &SpreadRule<'_>) -> bool {
     row.can_serve(query.kind, query.size_bytes) && !rule.forbids(row)
 }
 
-/// Whether the waiting queue has room for those tasks that find no slot.
+/// Checks that the waiting queue has room for the tasks that find no free slot.
 ///
 /// # Errors
 ///
-/// `Overloaded`, until the missing places are free at the queue's pace.
+/// `Overloaded`, with the time until the queue has drained far enough.
 pub fn check_room(request: &AdmissionRequest<'_>, forecast: &Forecast) -> Result<(), Refusal> {
     let to_queue = u32::from(request.tasks).saturating_sub(forecast.free_slots);
     match to_queue.saturating_sub(request.queue_room) {
@@ -164,24 +166,24 @@
     }
 }
 
-/// Whether the last of the tasks can start early enough.
+/// Checks that the last of the tasks can start early enough.
 ///
-/// While the slots for all of them are free they are taken in any case: that
-/// costs no one, and keeps the estimate of their run time fresh.
+/// If slots for all of them are free, the tasks pass in any case: they delay
+/// nobody, and they keep the estimate of their run time up to date.
 ///
 /// # Errors
 ///
-/// `DeadlineUnreachable`, until the wait has become short enough if nothing
-/// else is taken.
+/// `DeadlineUnreachable`, with the time until the wait is short enough if nothing
+/// else is admitted.
 pub fn check_deadline(request: &AdmissionRequest<'_>, forecast: &Forecast) -> Result<(), Refusal> {
     let ahead = request.backlog.tasks_ahead();
     let forecast_ms = forecast.wait_ms(ahead, u32::from(request.tasks));
-    let wait_ms = forecast_ms.saturating_add(forecast_ms / WAIT_MARGIN_PART);
+    let wait_ms = forecast_ms.saturating_add(forecast_ms / WAIT_MARGIN_DIVISOR);
     let end_ms = wait_ms.saturating_add(u64::from(request.least_run_ms));
     match end_ms.saturating_sub(u64::from(request.deadline_ms)) {
         late_ms if late_ms > 0 && wait_ms > 0 => {
-            // As the forecast shrinks, its margin does.
-            let shrink_ms = late_ms - late_ms / (WAIT_MARGIN_PART + 1);
+            // The margin shrinks together with the forecast.
+            let shrink_ms = late_ms - late_ms / (WAIT_MARGIN_DIVISOR + 1);
             Err(Refusal::retry_later(Reason::DeadlineUnreachable, shrink_ms))
         }
         _ => Ok(()),
--- a/crates/decide/src/ejection/mod.rs
+++ b/crates/decide/src/ejection/mod.rs
@@ -1,87 +1,91 @@
-//! Ejecting upstreams that fail what their peers do not.
+//! Outlier ejection: stops sending work to upstreams that fail more than their
+//! peers.
 //!
-//! An upstream that fails everything at once is always free, and so draws work.
-//! It is judged against its peers *by kind*: the failure rate of each kind there
-//! less the mean rate of that kind at the other upstreams. If a kind fails
-//! everywhere, the kind is at fault and nobody is ejected; an upstream that is
-//! the only one to serve a kind is not judged by it. The peers' rates count
-//! alike whatever their load, for an upstream that draws most of the work would
-//! else be compared with itself.
+//! An upstream that fails every task immediately is always free, and so attracts
+//! work. The entry compares each upstream with its peers *by kind*: the failure
+//! rate of the kind at this upstream, minus the mean rate of the kind at the
+//! other upstreams. If a kind fails everywhere, the kind is at fault and no
+//! upstream is ejected. A kind that only one upstream serves is not used to
+//! evaluate it. All peers have the same weight whatever their load; otherwise an
+//! upstream that attracts most of the work would be compared with itself.
 //!
-//! An absolute bound alone was ruled out (it ejects the whole fleet when a bad
-//! kind is published), and consecutive failures alone too (an upstream that
-//! fails nine of ten is kept).
+//! An absolute failure rate alone would eject the whole fleet when a faulty kind
+//! is published. A count of consecutive failures alone would keep an upstream
+//! that fails nine tasks of ten.
 //!
-//! An ejected upstream gets nothing for a time that doubles with each ejection.
-//! Then it gets one repeatable request as a probe. If that succeeds it returns
-//! with one task at a time, and one more with each success; a failure meanwhile
-//! ejects it again. At most [`max_ejected`] are out at a time, so that a wrong
-//! judgement cannot take the fleet away.
+//! An ejected upstream receives no work for a time that doubles with each
+//! ejection. Then it receives one repeatable request as a probe. If the probe
+//! succeeds, the upstream returns with one task at a time, and one more after
+//! each success; a failure during this phase ejects it again. At most
+//! [`max_ejected`] upstreams are ejected at a time, so that wrong ejections
+//! cannot disable the fleet.
 //!
-//! Judged are ends of tasks that were started, and starts that the upstream's
-//! own connection refused. Refusals by the agent's limits, cancellations and
-//! lost sessions between agent and entry say nothing of the upstream.
+//! Counted are the ends of started tasks, and starts that failed because the
+//! connection to the upstream was refused. Refusals by the agent's limits,
+//! cancellations, and lost sessions between agent and entry say nothing about
+//! the upstream.
 
-mod tally;
+mod failure_rates;
 
 use {
     crate::view::{KindKey, LiveState, UpstreamKey},
+    failure_rates::{Comparison, FailureRates},
     std::{
         collections::{HashMap, HashSet},
         sync::atomic::Ordering,
     },
-    tally::{Comparison, Tally},
 };
 
-/// First ejection, in milliseconds.
+/// Duration of the first ejection, in milliseconds.
 pub const FIRST_EJECTION_MS: u64 = 2_000;
 
-/// Longest ejection, in milliseconds.
+/// Maximum duration of an ejection, in milliseconds.
 pub const MAX_EJECTION_MS: u64 = 300_000;
 
-/// After this time in service, in milliseconds, a new ejection is a first one.
-pub const FORGIVE_AFTER_MS: u64 = 600_000;
+/// After this time in service, in milliseconds, the next ejection is as short as
+/// the first.
+pub const RESET_AFTER_MS: u64 = 600_000;
 
-/// A probe without an end for so long is taken as failed, in milliseconds.
+/// A probe that has not ended after this time counts as failed, in milliseconds.
 pub const PROBE_TIMEOUT_MS: u64 = 30_000;
 
-/// Failures between two judgements of an upstream: when all fail, each failure
-/// would else cost a look at all peers.
-const FAILURES_A_JUDGEMENT: u32 = 5;
+/// Failures of an upstream between two evaluations. Evaluating at every failure
+/// would compare with all peers each time, which is costly when everything fails.
+const FAILURES_PER_EVALUATION: u32 = 5;
 
-/// Failures beyond the peers', as part of the attempts, that eject; of few
-/// attempts more are needed, see [`is_outlier`].
-const MAX_EXCESS: f64 = 0.35;
+/// Failure rate in excess of the peers' above which an upstream is ejected.
+/// [`is_outlier`] requires more for few attempts.
+const MAX_EXCESS_FAILURE_RATE: f64 = 0.35;
 
-/// Tasks at once beyond which a returned upstream is in full service.
-const FULL_WINDOW: u32 = 32;
+/// Window of concurrent tasks above which a returning upstream is in full service.
+const MAX_RETURN_WINDOW: u32 = 32;
 
-/// Most upstreams that may be ejected at a time: three in ten, and one of at
-/// least three.
+/// Returns how many of the upstreams may be ejected at a time: three in ten, and
+/// at least one if there are three or more.
 #[must_use]
 pub fn max_ejected(upstreams: usize) -> usize {
     let least = usize::from(upstreams >= 3);
     (upstreams * 3 / 10).max(least)
 }
 
-/// How an upstream stands.
+/// Ejection state of an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EjectionState {
-    /// In full service.
+    /// Receives work without a bound.
     Full,
-    /// Gets nothing.
+    /// Receives no work.
     Ejected {
-        /// Until then, in monotonic milliseconds; after that a probe.
+        /// End of the ejection, in monotonic milliseconds; a probe follows.
         until_ms: u64,
     },
-    /// Gets nothing but the probe that was sent.
+    /// Receives no work except the probe that was sent.
     Probing {
-        /// When it was sent, in monotonic milliseconds.
+        /// When the probe was sent, in monotonic milliseconds.
         since_ms: u64,
     },
-    /// Gets a few tasks at once.
+    /// Receives a limited number of tasks at a time.
     Returning {
-        /// Most at once from this entry.
+        /// Maximum number of concurrent tasks from this entry.
         window: u32,
     },
 }
@@ -89,14 +93,14 @@
 #[derive(Clone, Copy, Debug)]
 struct Upstream {
     state: EjectionState,
-    /// Ejections in a row.
+    /// Consecutive ejections.
     ejections: u32,
     ejected_at_ms: u64,
-    failures_unjudged: u32,
+    failures_since_evaluation: u32,
 }
 
 impl Upstream {
-    fn is_out(&self) -> bool {
+    fn is_ejected(&self) -> bool {
         matches!(self.state, EjectionState::Ejected { .. } | EjectionState::Probing { .. })
     }
 
@@ -106,47 +110,47 @@
     }
 }
 
-/// Ejections as one entry decides them.
+/// Ejection states of all upstreams, as one entry decides them.
 #[derive(Clone, Debug, Default)]
 pub struct Ejections {
     upstreams: HashMap<UpstreamKey, Upstream>,
-    out: HashSet<UpstreamKey>,
-    tally: Tally,
+    ejected: HashSet<UpstreamKey>,
+    failure_rates: FailureRates,
 }
 
 impl Ejections {
-    /// Takes part from now on, in full service.
+    /// Adds an upstream in full service. A known one keeps its state.
     pub fn add(&mut self, key: UpstreamKey) {
         let new = Upstream {
             state: EjectionState::Full,
             ejections: 0,
             ejected_at_ms: 0,
-            failures_unjudged: 0,
+            failures_since_evaluation: 0,
         };
         self.upstreams.entry(key).or_insert(new);
     }
 
-    /// It is gone.
+    /// Removes an upstream that no longer exists.
     pub fn remove(&mut self, key: UpstreamKey) {
         self.upstreams.remove(&key);
-        self.out.remove(&key);
-        self.tally.remove(key);
+        self.ejected.remove(&key);
+        self.failure_rates.remove(key);
     }
 
-    /// How it stands; in full service if unknown.
+    /// Returns the state of an upstream; full service if it is unknown.
     #[must_use]
     pub fn state(&self, key: UpstreamKey) -> EjectionState {
         self.upstreams.get(&key).map_or(EjectionState::Full, |it| it.state)
     }
 
-    /// Upstreams that are ejected or probed.
+    /// Returns the number of upstreams that are ejected or being probed.
     #[must_use]
     pub fn ejected_count(&self) -> usize {
-        self.out.len()
+        self.ejected.len()
     }
 
-    /// Takes the end of a task. Returns how the upstream stands if that
-    /// changed, to be put into its [`LiveState`] by [`apply`].
+    /// Records the end of a task. Returns the upstream's state if it changed, for
+    /// [`publish`].
     pub fn observe(
         &mut self,
         key: UpstreamKey,
@@ -154,20 +158,20 @@
         succeeded: bool,
         now_ms: u64,
     ) -> Option<EjectionState> {
-        self.tally.observe(key, kind, succeeded, now_ms);
+        self.failure_rates.observe(key, kind, succeeded, now_ms);
         match self.upstreams.get(&key)?.state {
             EjectionState::Full if succeeded => None,
-            EjectionState::Full => self.judge(key, now_ms),
-            EjectionState::Returning { window } if succeeded => self.widen(key, window),
+            EjectionState::Full => self.evaluate(key, now_ms),
+            EjectionState::Returning { window } if succeeded => self.widen_window(key, window),
             EjectionState::Returning { .. } => self.eject(key, now_ms),
-            // Tasks placed before the ejection end after it: only the probe's
-            // end counts, which `record_probe_end` takes.
+            // These tasks were placed before the ejection. Only the end of the probe
+            // counts, see `record_probe_end`.
             EjectionState::Ejected { .. } | EjectionState::Probing { .. } => None,
         }
     }
 
-    /// An ejected upstream whose time is over and that `could_serve` the
-    /// repeatable request at hand, to be probed with it.
+    /// Chooses an upstream to probe with the current repeatable request: one whose
+    /// ejection has ended and for which `could_serve` returns true.
     pub fn take_probe(
         &mut self,
         mut could_serve: impl FnMut(UpstreamKey) -> bool,
@@ -178,14 +182,15 @@
             EjectionState::Probing { since_ms } => since_ms + PROBE_TIMEOUT_MS <= now_ms,
             EjectionState::Full | EjectionState::Returning { .. } => false,
         };
-        let due = self.out.iter().filter(is_due).copied();
+        let due = self.ejected.iter().filter(is_due).copied();
         let key = due.filter(|&key| could_serve(key)).min()?;
-        self.set(key, EjectionState::Probing { since_ms: now_ms });
+        self.set_state(key, EjectionState::Probing { since_ms: now_ms });
         Some(key)
     }
 
-    /// Takes the end of a probe: `None` if it says nothing of the upstream, as
-    /// when the agent refused it or the caller cancelled.
+    /// Records the end of a probe and returns the new state. `succeeded` is `None`
+    /// if the end says nothing about the upstream, for example because the agent
+    /// refused the probe or the caller cancelled it.
     pub fn record_probe_end(
         &mut self,
         key: UpstreamKey,
@@ -196,89 +201,91 @@
             return None;
         }
         match succeeded {
-            Some(true) => self.set(key, EjectionState::Returning { window: 1 }),
+            Some(true) => self.set_state(key, EjectionState::Returning { window: 1 }),
             Some(false) => self.eject(key, now_ms),
-            None => self.set(key, EjectionState::Ejected { until_ms: now_ms }),
+            None => self.set_state(key, EjectionState::Ejected { until_ms: now_ms }),
         }
     }
 
-    /// Lets those return that nobody probed: where no repeatable request comes,
-    /// an upstream ejected wrongly would else never return. It does so with one
-    /// task at a time, after as long a wait again.
+    /// Returns upstreams to service that were not probed: without repeatable
+    /// requests, a wrongly ejected upstream would otherwise never return. Such an
+    /// upstream waits for the duration of its ejection once more and then returns
+    /// with one task at a time.
     pub fn return_unprobed(&mut self, now_ms: u64) -> Vec<(UpstreamKey, EjectionState)> {
-        let waited = |key: &UpstreamKey| match self.upstreams[key].state {
+        let is_overdue = |key: &UpstreamKey| match self.upstreams[key].state {
             EjectionState::Ejected { until_ms } => {
                 until_ms + self.upstreams[key].ejection_ms() <= now_ms
             }
             _ => false,
         };
-        let returning: Vec<_> = self.out.iter().copied().filter(waited).collect();
+        let returning: Vec<_> = self.ejected.iter().copied().filter(is_overdue).collect();
         let state = EjectionState::Returning { window: 1 };
-        returning.into_iter().filter_map(|key| Some((key, self.set(key, state)?))).collect()
+        returning.into_iter().filter_map(|key| Some((key, self.set_state(key, state)?))).collect()
     }
 
-    fn judge(&mut self, key: UpstreamKey, now_ms: u64) -> Option<EjectionState> {
+    fn evaluate(&mut self, key: UpstreamKey, now_ms: u64) -> Option<EjectionState> {
         let upstream = self.upstreams.get_mut(&key)?;
-        upstream.failures_unjudged += 1;
-        if upstream.failures_unjudged < FAILURES_A_JUDGEMENT {
+        upstream.failures_since_evaluation += 1;
+        if upstream.failures_since_evaluation < FAILURES_PER_EVALUATION {
             return None;
         }
-        upstream.failures_unjudged = 0;
-        if !is_outlier(&self.tally.compare(key, now_ms)) {
+        upstream.failures_since_evaluation = 0;
+        if !is_outlier(&self.failure_rates.compare(key, now_ms)) {
             return None;
         }
         self.eject(key, now_ms)
     }
 
     fn eject(&mut self, key: UpstreamKey, now_ms: u64) -> Option<EjectionState> {
-        let is_out = self.out.contains(&key);
-        if !is_out && self.out.len() >= max_ejected(self.upstreams.len()) {
+        let is_ejected = self.ejected.contains(&key);
+        if !is_ejected && self.ejected.len() >= max_ejected(self.upstreams.len()) {
             return None;
         }
         let upstream = self.upstreams.get_mut(&key)?;
         let in_service_ms = now_ms.saturating_sub(upstream.ejected_at_ms);
-        if upstream.ejections > 0 && in_service_ms > FORGIVE_AFTER_MS + upstream.ejection_ms() {
+        if upstream.ejections > 0 && in_service_ms > RESET_AFTER_MS + upstream.ejection_ms() {
             upstream.ejections = 0;
         }
         upstream.ejections += 1;
         upstream.ejected_at_ms = now_ms;
         let until_ms = now_ms + upstream.ejection_ms();
-        self.tally.remove(key);
-        self.set(key, EjectionState::Ejected { until_ms })
+        self.failure_rates.remove(key);
+        self.set_state(key, EjectionState::Ejected { until_ms })
     }
 
-    fn widen(&mut self, key: UpstreamKey, window: u32) -> Option<EjectionState> {
+    fn widen_window(&mut self, key: UpstreamKey, window: u32) -> Option<EjectionState> {
         let wider = window + 1;
-        let is_full = wider > FULL_WINDOW;
-        self.set(
+        let is_full = wider > MAX_RETURN_WINDOW;
+        self.set_state(
             key,
             if is_full { EjectionState::Full } else { EjectionState::Returning { window: wider } },
         )
     }
 
-    fn set(&mut self, key: UpstreamKey, state: EjectionState) -> Option<EjectionState> {
+    fn set_state(&mut self, key: UpstreamKey, state: EjectionState) -> Option<EjectionState> {
         let upstream = self.upstreams.get_mut(&key)?;
         upstream.state = state;
-        if upstream.is_out() {
-            self.out.insert(key);
+        if upstream.is_ejected() {
+            self.ejected.insert(key);
         } else {
-            self.out.remove(&key);
+            self.ejected.remove(&key);
         }
         Some(state)
     }
 }
 
-/// Whether failures beyond the peers' are more than chance: a rate of one half
-/// varies by half the root of the attempts, and twice that is allowed for.
+/// Returns whether the excess failures are more than chance. The standard
+/// deviation of a failure rate of one half is `0.5 / sqrt(attempts)`; two
+/// standard deviations are tolerated.
 fn is_outlier(comparison: &Comparison) -> bool {
-    comparison.excess > MAX_EXCESS + 1.0 / comparison.attempts.max(1.0).sqrt()
+    comparison.excess > MAX_EXCESS_FAILURE_RATE + 1.0 / comparison.attempts.max(1.0).sqrt()
 }
 
-/// Puts how an upstream stands where placement sees it.
+/// Writes the state of an upstream where placement reads it.
 pub fn publish(state: EjectionState, live: &LiveState) {
     let (ejected_until_ms, return_window) = match state {
         EjectionState::Full => (0, 0),
-        // It stays out beyond its time, until a probe succeeded.
+        // The upstream stays ejected beyond the end time, until a probe succeeds.
         EjectionState::Ejected { .. } | EjectionState::Probing { .. } => (u64::MAX, 0),
         EjectionState::Returning { window } => (0, window),
     };
--- a/crates/decide/src/estimate/histogram.rs
+++ b/crates/decide/src/estimate/histogram.rs
@@ -1,15 +1,17 @@
-//! Percentiles of a positive quantity over several orders of magnitude.
+//! Histogram for percentiles of a positive quantity over several orders of
+//! magnitude.
 
-/// Buckets a doubling: each is 19 % wider than the one before.
-const BUCKETS_A_DOUBLING: f64 = 4.0;
+/// Buckets per doubling of the value: each is 19 % wider than the one before.
+const BUCKETS_PER_DOUBLING: f64 = 4.0;
 
-/// Enough for 2^40: microseconds of 12 days, or bytes of a terabyte.
+/// Covers values up to 2^40: 12 days in microseconds, or a terabyte in bytes.
 const BUCKETS: usize = 160;
 
-/// Weight of all observations at which it is halved, so that old ones fade.
+/// Total weight at which all counts are halved, so that old observations lose
+/// weight.
 const MAX_WEIGHT: u32 = 4_096;
 
-/// A histogram with buckets of equal ratio.
+/// A histogram whose buckets grow by a constant ratio.
 #[derive(Clone, Debug)]
 pub struct Histogram {
     counts: Box<[u16; BUCKETS]>,
@@ -24,51 +26,52 @@
 }
 
 impl Histogram {
-    /// Takes an observation; what is below 1 counts as 1.
+    /// Adds an observation; values below 1 count as 1.
     pub fn observe(&mut self, value: f64) {
-        let bucket = (value.max(1.0).log2() * BUCKETS_A_DOUBLING) as usize;
+        let bucket = (value.max(1.0).log2() * BUCKETS_PER_DOUBLING) as usize;
         self.counts[bucket.min(BUCKETS - 1)] += 1;
         self.weight += 1;
         self.observations += 1;
         if self.weight >= MAX_WEIGHT {
-            self.fade();
+            self.halve_counts();
         }
     }
 
-    /// Observations taken, the faded ones included.
+    /// Returns the number of observations, including those that lost their weight.
     #[must_use]
     pub fn observations(&self) -> u64 {
         self.observations
     }
 
-    /// A value that `percent` of the observations do not exceed: the upper
-    /// bound of a bucket, 0 without observations.
+    /// Returns a value that `percent` of the observations do not exceed: the upper
+    /// bound of a bucket, or 0 without observations.
     #[must_use]
     pub fn percentile(&self, percent: f64) -> f64 {
-        self.bucket_of(percent).map_or(0.0, |bucket| bound(bucket + 1))
+        self.bucket_of(percent).map_or(0.0, |bucket| lower_bound(bucket + 1))
     }
 
-    /// The lower bound of that bucket.
+    /// Returns the lower bound of the bucket that holds the percentile, or 0 without
+    /// observations.
     #[must_use]
     pub fn lower_percentile(&self, percent: f64) -> f64 {
-        self.bucket_of(percent).map_or(0.0, bound)
+        self.bucket_of(percent).map_or(0.0, lower_bound)
     }
 
     fn bucket_of(&self, percent: f64) -> Option<usize> {
-        let wanted = (f64::from(self.weight) * percent / 100.0).ceil().max(1.0) as u32;
-        let mut below = 0;
+        let target = (f64::from(self.weight) * percent / 100.0).ceil().max(1.0) as u32;
+        let mut cumulative = 0;
         self.counts.iter().position(|&count| {
-            below += u32::from(count);
-            below >= wanted
+            cumulative += u32::from(count);
+            cumulative >= target
         })
     }
 
-    fn fade(&mut self) {
+    fn halve_counts(&mut self) {
         self.counts.iter_mut().for_each(|count| *count /= 2);
         self.weight = self.counts.iter().map(|&count| u32::from(count)).sum();
     }
 }
 
-fn bound(bucket: usize) -> f64 {
-    (bucket as f64 / BUCKETS_A_DOUBLING).exp2()
+fn lower_bound(bucket: usize) -> f64 {
+    (bucket as f64 / BUCKETS_PER_DOUBLING).exp2()
 }
--- a/crates/decide/src/estimate/mean.rs
+++ b/crates/decide/src/estimate/mean.rs
@@ -1,25 +1,27 @@
-//! A mean that follows change.
+//! A running mean that adapts to change.
 
-/// Observations after which older ones fade.
-const MEMORY: f64 = 32.0;
+/// Number of observations after which the mean becomes exponentially weighted.
+const MAX_OBSERVATIONS: f64 = 32.0;
 
-/// Mean of all observations at first, later an exponentially weighted one.
+/// Mean of all observations at first; exponentially weighted once
+/// there are many.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Mean {
     value: f32,
-    /// Up to [`MEMORY`].
+    /// Number of observations, at most [`MAX_OBSERVATIONS`].
     observations: f32,
 }
 
 impl Mean {
-    /// Takes an observation.
+    /// Adds an observation.
     pub fn observe(&mut self, value: f64) {
-        self.observations = (self.observations + 1.0).min(MEMORY as f32);
+        self.observations = (self.observations + 1.0).min(MAX_OBSERVATIONS as f32);
         self.value += (value as f32 - self.value) / self.observations;
     }
 
-    /// The mean, with `prior` as an observation of falling weight: alone
-    /// without any, a fourth with one, below a hundredth with ten.
+    /// Returns the mean, combined with `prior`. The weight of `prior` falls with the
+    /// number of observations: 1 without any, a quarter with one, below a hundredth
+    /// with ten.
     #[must_use]
     pub fn value_or(&self, prior: f64) -> f64 {
         let weight = 1.0 / (1.0 + f64::from(self.observations)).powi(2);
--- a/crates/decide/src/estimate/mod.rs
+++ b/crates/decide/src/estimate/mod.rs
@@ -1,17 +1,18 @@
-//! Run times and sizes, corrected by observation.
+//! Estimates of run times and sizes, from declarations and observations.
 //!
-//! Declared values are hints and often wrong by a factor of ten. A hint stands
-//! alone until something was observed, and its weight falls with the square of
-//! the number of observations, so that it is gone after a handful.
+//! Declared values are hints and often wrong by a factor of ten. A hint counts
+//! alone until the first observation. Its weight then falls with the square of
+//! the number of observations, so that it is negligible after a few.
 //!
-//! Kept by kind, by upstream and by both: a kind's run times as a histogram for
-//! percentiles, the rest as means. For a pair not seen yet the kind's mean is
-//! scaled by how slow the upstream is with other kinds. A histogram a pair
-//! would be exact and cost about 320 bytes times kinds times upstreams.
+//! Estimates are kept by kind, by upstream and by pair of both: a histogram of a
+//! kind's run times for percentiles, and means for the rest. For a pair without
+//! observations, the kind's mean is scaled by the slowness of the upstream with
+//! other kinds. A histogram for each pair would be exact, but would cost about
+//! 320 bytes times kinds times upstreams.
 //!
-//! A decaying histogram is taken rather than the P2 algorithm: one structure
-//! gives every percentile, old observations fade, and its error is known (a
-//! bucket, 19 %), where P2 keeps one percentile and drifts when times change.
+//! A decaying histogram is used instead of the P2 algorithm: it provides every
+//! percentile, old observations lose weight, and its error is known (one bucket,
+//! 19 %). P2 tracks a single percentile and drifts when run times change.
 
 mod histogram;
 mod mean;
@@ -23,25 +24,25 @@
 
 pub use {histogram::Histogram, mean::Mean};
 
-/// An observation counts at most as this many times the estimate, so that one
-/// straggler does not move it far, and an estimate ten times too low still
-/// catches up at once.
-const MAX_JUMP: f64 = 8.0;
+/// Observations are capped at this many times the estimate. One straggler then
+/// moves the estimate little, and an estimate that is ten times too low still
+/// catches up quickly.
+const MAX_OBSERVATION_RATIO: f64 = 8.0;
 
-/// The percentile of run times to be counted on at least.
-const LEAST_PERCENTILE: f64 = 5.0;
+/// Percentile of run times that counts as the shortest expected run time.
+const MIN_RUN_PERCENTILE: f64 = 5.0;
 
-/// The percentile of sizes to be provided for.
+/// Percentile of sizes that is used as the size of a task.
 const SIZE_PERCENTILE: f64 = 95.0;
 
-/// Fewer observations give no percentile.
+/// Observations needed before a percentile is used.
 const MIN_OBSERVATIONS: u64 = 20;
 
-/// After this time without an observation, in milliseconds, a low run time is
-/// not counted on any more.
-const FRESH_MS: u64 = 10_000;
+/// After this time without an observation, in milliseconds, the shortest run time
+/// counts as unknown.
+const MAX_OBSERVATION_AGE_MS: u64 = 10_000;
 
-/// What is declared and known of one kind.
+/// Declared and observed values of one kind.
 #[derive(Clone, Debug)]
 struct KindEstimate {
     declared_run_us: f64,
@@ -52,12 +53,12 @@
     observed_at_ms: u64,
 }
 
-/// What is known of one upstream.
+/// Observed values of one upstream.
 #[derive(Clone, Debug, Default)]
 struct UpstreamEstimate {
-    /// Of all kinds.
+    /// Run time over all kinds.
     run_us: Mean,
-    /// Run time against the mean of the task's kind; 1 for the usual.
+    /// Run time relative to the mean of the task's kind; 1 is average.
     slowness: Mean,
 }
 
@@ -70,7 +71,7 @@
 }
 
 impl Estimates {
-    /// Takes a kind's declared values, the first ones or changed ones.
+    /// Sets a kind's declared values, initially or after a change.
     pub fn declare(&mut self, kind: KindKey, run_ms: u32, size_bytes: u64) {
         let declared_run_us = f64::from(run_ms.max(1)) * 1_000.0;
         let declared_size_bytes = size_bytes as f64;
@@ -87,60 +88,62 @@
         estimate.declared_size_bytes = declared_size_bytes;
     }
 
-    /// Takes the run time of a task that ended.
+    /// Records the run time of a task that ran to its end.
     ///
-    /// Only of tasks that ran to their end: a failure at once says nothing of
-    /// run time, and would make a broken upstream look fast.
+    /// Immediate failures must not be recorded: they say nothing about the run
+    /// time, and would make a broken upstream look fast.
     pub fn observe_run(&mut self, kind: KindKey, upstream: UpstreamKey, run_us: u64, now_ms: u64) {
         let run_us = run_us.max(1) as f64;
-        let of_pair_us = self.run_us(kind, upstream);
+        let pair_us = self.run_us(kind, upstream);
         let Some(estimate) = self.kinds.get_mut(&kind) else { return };
-        let of_kind_us = estimate.run_us.value_or(estimate.declared_run_us);
-        estimate.run_us.observe(run_us.min(MAX_JUMP * of_kind_us));
+        let kind_us = estimate.run_us.value_or(estimate.declared_run_us);
+        estimate.run_us.observe(run_us.min(MAX_OBSERVATION_RATIO * kind_us));
         estimate.runs.observe(run_us);
         estimate.observed_at_ms = now_ms;
-        let of_upstream = self.upstreams.entry(upstream).or_default();
-        of_upstream.slowness.observe((run_us / of_kind_us).min(MAX_JUMP));
-        let before_us = of_upstream.run_us.value_or(of_pair_us);
-        of_upstream.run_us.observe(run_us.min(MAX_JUMP * before_us));
-        let of_pair = self.pairs.entry((kind, upstream)).or_default();
-        of_pair.observe(run_us.min(MAX_JUMP * of_pair_us));
+        let upstream_estimate = self.upstreams.entry(upstream).or_default();
+        upstream_estimate.slowness.observe((run_us / kind_us).min(MAX_OBSERVATION_RATIO));
+        let previous_us = upstream_estimate.run_us.value_or(pair_us);
+        upstream_estimate.run_us.observe(run_us.min(MAX_OBSERVATION_RATIO * previous_us));
+        let pair_mean = self.pairs.entry((kind, upstream)).or_default();
+        pair_mean.observe(run_us.min(MAX_OBSERVATION_RATIO * pair_us));
     }
 
-    /// Takes the size of a task as the upstream told it.
+    /// Records the size of a task as reported by the upstream.
     pub fn observe_size(&mut self, kind: KindKey, size_bytes: u64) {
         if let Some(estimate) = self.kinds.get_mut(&kind) {
             estimate.sizes.observe(size_bytes.max(1) as f64);
         }
     }
 
-    /// Expected run time of a kind at an upstream, in microseconds.
+    /// Returns the expected run time of a kind at an upstream, in microseconds; 0 for
+    /// an unknown kind.
     #[must_use]
     pub fn run_us(&self, kind: KindKey, upstream: UpstreamKey) -> f64 {
         let Some(estimate) = self.kinds.get(&kind) else { return 0.0 };
-        let of_kind_us = estimate.run_us.value_or(estimate.declared_run_us);
-        let of_upstream = self.upstreams.get(&upstream);
-        let slowness = of_upstream.map_or(1.0, |it| it.slowness.value_or(1.0));
-        let of_pair = self.pairs.get(&(kind, upstream));
-        of_pair.map_or(of_kind_us * slowness, |it| it.value_or(of_kind_us * slowness))
+        let kind_us = estimate.run_us.value_or(estimate.declared_run_us);
+        let upstream_estimate = self.upstreams.get(&upstream);
+        let slowness = upstream_estimate.map_or(1.0, |it| it.slowness.value_or(1.0));
+        let pair_mean = self.pairs.get(&(kind, upstream));
+        pair_mean.map_or(kind_us * slowness, |it| it.value_or(kind_us * slowness))
     }
 
-    /// Expected run time of a kind anywhere, in milliseconds, at least 1.
+    /// Returns the expected run time of a kind over all upstreams, in milliseconds,
+    /// at least 1.
     #[must_use]
     pub fn kind_run_ms(&self, kind: KindKey) -> u32 {
         let run_us = self.kinds.get(&kind).map(|it| it.run_us.value_or(it.declared_run_us));
         ((run_us.unwrap_or(0.0) / 1_000.0).ceil() as u32).max(1)
     }
 
-    /// Mean run time of the tasks of all kinds at an upstream, in microseconds;
-    /// 0 while unknown, as [`crate::view::LiveState::mean_run_us`] has it.
+    /// Returns the mean run time over all kinds at an upstream, in microseconds; 0
+    /// while unknown, as in [`crate::view::LiveState::mean_run_us`].
     #[must_use]
     pub fn upstream_run_us(&self, upstream: UpstreamKey) -> u64 {
         self.upstreams.get(&upstream).map_or(0, |it| it.run_us.value_or(0.0) as u64)
     }
 
-    /// Percentile of a kind's run times, in microseconds; `None` until enough
-    /// of them were observed.
+    /// Returns a percentile of a kind's run times, in microseconds; `None` until
+    /// enough of them were observed.
     #[must_use]
     pub fn run_percentile_us(&self, kind: KindKey, percentile: u8) -> Option<u64> {
         let runs = &self.kinds.get(&kind)?.runs;
@@ -148,21 +151,22 @@
         is_known.then(|| runs.percentile(f64::from(percentile)) as u64)
     }
 
-    /// Run time that a task takes at least, in milliseconds, for refusing what
-    /// cannot end in time; 0 while not known from fresh observations. Declared
-    /// run times do not count: one that is too long would refuse each request,
-    /// and never be corrected.
+    /// Returns the shortest expected run time of a task, in milliseconds, used to
+    /// refuse tasks that cannot end in time; 0 without recent observations.
+    /// Declared run times do not count: one that is too long would refuse every
+    /// request and never be corrected.
     #[must_use]
     pub fn least_run_ms(&self, kind: KindKey, now_ms: u64) -> u32 {
         let Some(estimate) = self.kinds.get(&kind) else { return 0 };
-        let is_fresh = now_ms.saturating_sub(estimate.observed_at_ms) <= FRESH_MS;
+        let is_fresh = now_ms.saturating_sub(estimate.observed_at_ms) <= MAX_OBSERVATION_AGE_MS;
         if !is_fresh || estimate.runs.observations() < MIN_OBSERVATIONS {
             return 0;
         }
-        (estimate.runs.lower_percentile(LEAST_PERCENTILE) / 1_000.0) as u32
+        (estimate.runs.lower_percentile(MIN_RUN_PERCENTILE) / 1_000.0) as u32
     }
 
-    /// Size to provide for, in bytes: declared until enough were observed.
+    /// Returns the expected size in bytes: the declared one until enough sizes
+    /// were observed, then a high percentile of these.
     #[must_use]
     pub fn size_bytes(&self, kind: KindKey) -> u64 {
         let Some(estimate) = self.kinds.get(&kind) else { return 0 };
@@ -172,13 +176,13 @@
         estimate.sizes.percentile(SIZE_PERCENTILE) as u64
     }
 
-    /// Forgets an upstream that is gone.
+    /// Removes the estimates of an upstream that no longer exists.
     pub fn forget_upstream(&mut self, upstream: UpstreamKey) {
         self.upstreams.remove(&upstream);
         self.pairs.retain(|(_, it), _| *it != upstream);
     }
 
-    /// Forgets a kind that is gone.
+    /// Removes the estimates of a kind that no longer exists.
     pub fn forget_kind(&mut self, kind: KindKey) {
         self.kinds.remove(&kind);
         self.pairs.retain(|(it, _), _| *it != kind);
--- a/crates/decide/src/gate.rs
+++ b/crates/decide/src/gate.rs
@@ -1,39 +1,41 @@
-//! Start gate of an agent: decides whether a placement starts, waits, joins
-//! an earlier one or is refused, and keeps what became of each task.
+//! Start gate of an agent: decides whether a placement starts, is queued, joins
+//! an earlier placement or is refused, and records the state of each task.
 //!
 //! # Why a task starts at most once
 //!
-//! A record is made before [`PlacementDecision::Start`] is returned, and a placement of a
-//! task with a record joins that record. A record goes away only
+//! The gate creates a record before [`PlacementDecision::Start`] is returned, and a placement of a
+//! task that has a record joins that record. A record is removed only
 //!
-//! - with the proof that the upstream was never given the task
+//! - when it is proven that the upstream never received the task
 //!   ([`Gate::record_not_started`], or dropped from the queue), or
-//! - [`Limits::retention_ms`] after its last change, when the home refuses the
-//!   job's id as expired and has forgotten it.
+//! - [`Limits::retention_ms`] after its last change. By then the home rejects
+//!   the job's id as expired and has forgotten the job.
 //!
-//! No late placement can start after its tombstone has expired: only the home
-//! places a task, and after it has revoked the task it never places it at this
-//! agent again. Copies of an earlier placement come only over a connection
-//! that the agent has closed since, and the agent drops those. Incarnations
-//! that were fenced are kept for the life of the process.
+//! A delayed placement cannot start after its tombstone has expired: only the
+//! home places a task, and it never places a revoked task at the same agent
+//! again. Copies of an earlier placement arrive only over a connection that the
+//! agent has closed since, and the agent drops those. Fenced incarnations are
+//! kept until the process ends.
 //!
-//! A refusal without a record is no promise about later placements unless it
-//! says `never`. An entry therefore sends a task again only over a new
-//! connection, or after it has revoked it.
+//! A refusal creates no record, so it promises nothing about later placements
+//! unless it says `never`. An entry therefore sends a task again only over a
+//! new connection, or after it has revoked the task.
 //!
-//! A placement that names another run of the agent is refused without `never`:
-//! this run cannot tell what that run started, and may start the task when a
-//! placement names it. The reply names the run that answers.
+//! A placement addressed to another run of the agent is refused without
+//! `never`: this run does not know what the other run started, and may still
+//! start the task when a placement is addressed to it. The reply names the run
+//! that answers.
 //!
 //! # Memory
 //!
-//! Records cost [`RECORD_COST_BYTES`] each, plus the payloads of queued ones.
-//! Placements are refused at seven eighths of [`Limits::record_bytes`]; the
-//! last eighth is for tombstones, and a revoke that finds it full leaves its
-//! task out of the reports, which proves nothing. Results are dropped oldest
-//! first beyond [`Limits::kept_result_bytes`]. Fences cost at most
-//! [`MAX_FENCED`] × 18 bytes (8 a key and 1 of control, in a table that is at
-//! least half full): 1.2 MB.
+//! Each record costs [`RECORD_COST_BYTES`], plus the payload while it is queued.
+//! Placements are refused once seven eighths of [`Limits::record_bytes`] are
+//! used; the last eighth is reserved for tombstones. A revoke that finds no
+//! memory for a tombstone leaves its task out of the reports, which proves
+//! nothing about the task. Results beyond [`Limits::kept_result_bytes`] are
+//! dropped, the oldest first. Fences cost at most [`MAX_FENCED`] × 18 bytes
+//! (8 bytes of key and 1 of control per slot, in a table that is at least half
+//! full): 1.2 MB.
 
 mod fences;
 mod queue;
@@ -60,15 +62,18 @@
     },
 };
 
-/// Bytes of results that one reply about several tasks may carry. Results
-/// beyond it are reported as [`TaskRecord::EndDropped`]; whoever needs them
-/// asks again for fewer jobs.
+/// Maximum bytes of results in one reply about several tasks. Further results
+/// are reported as [`TaskRecord::EndDropped`]; a caller that needs them asks
+/// again for fewer jobs.
 pub const REPLY_RESULT_BYTES: usize = 6 * 1024 * 1024;
 
-const FIRST_RETRY_AFTER_MS: u32 = 50;
+/// Retry delay told while no run time is known.
+const DEFAULT_RETRY_AFTER_MS: u32 = 50;
 const MAX_RETRY_AFTER_MS: u64 = 5_000;
-const RUN_TIME_WEIGHT: u64 = 8;
-const TOMBSTONE_SHARE: u64 = 8;
+/// The mean run time is an exponential average with weight 1/8 for a new sample.
+const RUN_TIME_SAMPLES: u64 = 8;
+/// One part in this many of the record memory is reserved for tombstones.
+const TOMBSTONE_DIVISOR: u64 = 8;
 
 /// The start gate of one run of an agent.
 #[derive(Debug)]
@@ -86,7 +91,7 @@
 }
 
 impl Gate {
-    /// A gate without records, for this run of the agent.
+    /// Creates a gate without records for this run of the agent.
     #[must_use]
     pub fn new(agent: Incarnation, limits: Limits) -> Self {
         Self {
@@ -103,7 +108,8 @@
         }
     }
 
-    /// Decides on a placement.
+    /// Decides whether a placement starts now, waits, joins an earlier placement
+    /// or is refused.
     pub fn place(&mut self, placement: Placement, now_ms: u64) -> PlacementDecision {
         if placement.agent != self.agent {
             return PlacementDecision::Refused(self.refusal(Reason::WrongIncarnation, false));
@@ -135,7 +141,7 @@
             UpstreamState::Leaving => (Reason::Leaving, false),
             _ if self.evacuated => (Reason::Evacuated, false),
             _ if !self.has_memory_for(placement) => (Reason::MemoryFull, false),
-            _ if !self.has_place_for(placement) => (Reason::AgentFull, false),
+            _ if !self.has_slot_or_queue_room(placement) => (Reason::AgentFull, false),
             UpstreamState::Serving { .. } => return None,
         };
         Some(self.refusal(reason, never))
@@ -146,15 +152,15 @@
     }
 
     fn has_memory_for(&self, placement: &Placement) -> bool {
-        let for_tombstones = self.limits.record_bytes / TOMBSTONE_SHARE;
-        let wanted = RECORD_COST_BYTES + placement.payload.0.len() as u64;
-        self.record_bytes() + wanted <= self.limits.record_bytes - for_tombstones
+        let tombstone_bytes = self.limits.record_bytes / TOMBSTONE_DIVISOR;
+        let needed = RECORD_COST_BYTES + placement.payload.0.len() as u64;
+        self.record_bytes() + needed <= self.limits.record_bytes - tombstone_bytes
     }
 
-    fn has_place_for(&self, placement: &Placement) -> bool {
-        let starts_now = self.has_free_slot() && self.queue.is_empty();
-        let may_wait = placement.start_within_ms > 0 && self.queue.len() < self.limits.max_queued;
-        starts_now || may_wait
+    fn has_slot_or_queue_room(&self, placement: &Placement) -> bool {
+        let can_start = self.has_free_slot() && self.queue.is_empty();
+        let can_queue = placement.start_within_ms > 0 && self.queue.len() < self.limits.max_queued;
+        can_start || can_queue
     }
 
     fn has_free_slot(&self) -> bool {
@@ -170,11 +176,11 @@
 
     fn retry_after_ms(&self) -> u32 {
         if self.mean_run_us == 0 || self.slots() == 0 {
-            return FIRST_RETRY_AFTER_MS;
+            return DEFAULT_RETRY_AFTER_MS;
         }
         let waiting = self.queue.len() as u64 + 1;
         let expected_ms = self.mean_run_us * waiting / self.slots() as u64 / 1000;
-        u32::try_from(expected_ms.clamp(1, MAX_RETRY_AFTER_MS)).unwrap_or(FIRST_RETRY_AFTER_MS)
+        u32::try_from(expected_ms.clamp(1, MAX_RETRY_AFTER_MS)).unwrap_or(DEFAULT_RETRY_AFTER_MS)
     }
 
     fn start(&mut self, queued: Queued, now_ms: u64) -> TaskStart {
@@ -189,18 +195,18 @@
         let start_by_ms = queued.start_by_ms;
         let task = queued.placement.task;
         let origin = Origin::of(&queued.placement);
-        let place = self.queue.push(queued);
-        self.store.insert(task, Some(origin), State::Queued(place));
+        let key = self.queue.push(queued);
+        self.store.insert(task, Some(origin), State::Queued(key));
         PlacementDecision::Queued { start_by_ms }
     }
 
-    /// The next queued task to start, if a slot is free: the lowest urgency
-    /// number first, then the earliest. Queued ones whose start window passed
-    /// are dropped and added to `settled`.
+    /// Takes the next queued task to start, if a slot is free: the lowest urgency
+    /// number first, then the one queued first. Tasks whose start window has
+    /// passed are dropped and added to `settled`.
     pub fn take_next(&mut self, now_ms: u64, settled: &mut Vec<SettledTask>) -> Option<TaskStart> {
         while self.has_free_slot() {
             let queued = self.queue.pop()?;
-            match queued.lapsed(now_ms) {
+            match queued.expiry_reason(now_ms) {
                 Some(reason) => settled.push(self.drop_queued(&queued, reason, false)),
                 None => return Some(self.start(queued, now_ms)),
             }
@@ -208,16 +214,17 @@
         None
     }
 
-    /// Drops queued tasks whose start window passed, and forgets records whose
-    /// retention passed.
+    /// Drops queued tasks whose start window has passed, and removes records
+    /// whose retention time has passed. Returns the dropped tasks.
     pub fn expire(&mut self, now_ms: u64) -> Vec<SettledTask> {
         self.store.expire(now_ms, self.limits.retention_ms);
-        let lapsed = self.queue.remove_where(|queued| queued.lapsed(now_ms).is_some());
-        let reason = |queued: &Queued| queued.lapsed(now_ms).unwrap_or(Reason::StartWindowPassed);
-        lapsed.iter().map(|queued| self.drop_queued(queued, reason(queued), false)).collect()
+        let expired = self.queue.remove_where(|queued| queued.expiry_reason(now_ms).is_some());
+        let reason =
+            |queued: &Queued| queued.expiry_reason(now_ms).unwrap_or(Reason::StartWindowPassed);
+        expired.iter().map(|queued| self.drop_queued(queued, reason(queued), false)).collect()
     }
 
-    /// Removes the record of a task that has left the queue without a start.
+    /// Removes the record of a task that left the queue without being started.
     fn drop_queued(&mut self, queued: &Queued, reason: Reason, never: bool) -> SettledTask {
         let task = queued.placement.task;
         self.store.remove(&task);
@@ -229,7 +236,7 @@
         all.iter().map(|queued| self.drop_queued(queued, reason, never)).collect()
     }
 
-    /// Records that the upstream is called for the task from now on.
+    /// Permits one upstream call for the task and records that it begins.
     pub fn permit_call(&mut self, task: TaskId) -> CallPermit {
         let Some(State::Running { called, .. }) = self.store.state_mut(&task) else {
             return CallPermit::Revoked;
@@ -241,8 +248,8 @@
         }
     }
 
-    /// Records the end of a running task. `None` when it was decided before,
-    /// as by a revoke.
+    /// Records the end of a running task. Returns `None` if the task is no longer
+    /// running, for example because it was revoked.
     pub fn record_end(
         &mut self,
         task: TaskId,
@@ -250,33 +257,34 @@
         run_us: u64,
         now_ms: u64,
     ) -> Option<SettledTask> {
-        let queued_ms = self.running_since_queue(task)?;
-        self.note_run_time(run_us);
+        let queued_ms = self.queued_ms_if_running(task)?;
+        self.update_mean_run_time(run_us);
         let times = RunTimes { run_us, queued_us: queued_ms * 1000 };
         Some(self.finish(task, State::Ended { end, times }, now_ms))
     }
 
-    /// Records that the end of a running task cannot be known.
+    /// Records that it cannot be known how a running task ended.
     pub fn record_broken(
         &mut self,
         task: TaskId,
         reason: Reason,
         now_ms: u64,
     ) -> Option<SettledTask> {
-        self.running_since_queue(task)?;
+        self.queued_ms_if_running(task)?;
         Some(self.finish(task, State::Broken(reason), now_ms))
     }
 
-    /// Records the proof that the upstream was not given a running task. Its
-    /// record goes away: the home may place it again, here or elsewhere.
+    /// Records that the upstream provably did not receive a running task. The
+    /// record is removed, so that the home may place the task again, here or
+    /// elsewhere.
     pub fn record_not_started(&mut self, task: TaskId, reason: Reason) -> Option<SettledTask> {
-        self.running_since_queue(task)?;
+        self.queued_ms_if_running(task)?;
         self.running -= 1;
         self.store.remove(&task);
         Some(SettledTask { task, reply: self.refusal(reason, false).reply() })
     }
 
-    fn running_since_queue(&self, task: TaskId) -> Option<u64> {
+    fn queued_ms_if_running(&self, task: TaskId) -> Option<u64> {
         match self.store.get(&task)?.state {
             State::Running { queued_ms, .. } => Some(queued_ms),
             _ => None,
@@ -291,35 +299,35 @@
         SettledTask { task, reply }
     }
 
-    fn note_run_time(&mut self, run_us: u64) {
+    fn update_mean_run_time(&mut self, run_us: u64) {
         self.mean_run_us = match self.mean_run_us {
             0 => run_us,
-            mean => (mean * (RUN_TIME_WEIGHT - 1) + run_us) / RUN_TIME_WEIGHT,
+            mean => (mean * (RUN_TIME_SAMPLES - 1) + run_us) / RUN_TIME_SAMPLES,
         };
     }
 
-    /// Revokes tasks: one not started never starts here, a running one is
-    /// ended as cancelled, an ended one is told.
+    /// Revokes tasks: a task that has not started never starts here, a running
+    /// one ends as cancelled, and the end of a finished one is reported.
     ///
-    /// A task missing from the reports could not be given a tombstone, because
-    /// the memory for records is full; nothing is proved of it.
+    /// A task is missing from the reports if the memory for records had no room
+    /// for its tombstone; its absence proves nothing.
     pub fn revoke(&mut self, tasks: &[TaskId], now_ms: u64) -> RevokeOutcome {
         let mut revoked = RevokeOutcome::default();
-        // Those held first: what they free is there for tombstones of others.
+        // Tasks with a record first: the memory they free can hold tombstones of the others.
         let (held, new): (Vec<TaskId>, Vec<TaskId>) =
             tasks.iter().partition(|task| self.store.get(task).is_some());
         for task in held.into_iter().chain(new) {
             self.revoke_one(task, now_ms, &mut revoked);
         }
-        let known = tasks.iter().filter_map(|task| self.report(*task));
-        revoked.reports = within_reply(known);
+        let reports = tasks.iter().filter_map(|task| self.report(*task));
+        revoked.reports = limit_results(reports);
         revoked
     }
 
     fn revoke_one(&mut self, task: TaskId, now_ms: u64, revoked: &mut RevokeOutcome) {
         match self.store.get(&task).map(|record| &record.state) {
-            Some(&State::Queued(place)) => {
-                self.queue.remove(place);
+            Some(&State::Queued(key)) => {
+                self.queue.remove(key);
                 self.store.settle(task, State::Tombstone, now_ms);
             }
             Some(State::Running { called: false, .. }) => {
@@ -341,39 +349,41 @@
             .push(SettledTask { task, reply: self.refusal(Reason::Revoked, true).reply() });
     }
 
-    /// Refuses all placements of a run of an entry from now on, drops those
-    /// still queued, and tells what is held of the jobs asked for.
+    /// Refuses all placements from a run of an entry from now on, drops its
+    /// queued tasks, and reports the records of the given jobs.
     pub fn fence(&mut self, home: Incarnation, jobs: &[JobId]) -> FenceOutcome {
         self.fences.insert(home);
         let dropped = self.queue.remove_where(|queued| queued.home() == home);
         let settled =
             dropped.iter().map(|queued| self.drop_queued(queued, Reason::Fenced, true)).collect();
-        FenceOutcome { jobs: self.held(jobs), settled }
+        FenceOutcome { jobs: self.fenced_jobs(jobs), settled }
     }
 
-    fn held(&self, jobs: &[JobId]) -> Vec<FencedJob> {
+    /// Reports the records of the given jobs; they share one limit of result bytes.
+    fn fenced_jobs(&self, jobs: &[JobId]) -> Vec<FencedJob> {
         let mut result_bytes = 0;
-        jobs.iter().filter_map(|&job| self.held_job(job, &mut result_bytes)).collect()
+        jobs.iter().filter_map(|&job| self.fenced_job(job, &mut result_bytes)).collect()
     }
 
-    /// A job with tombstones only was never placed here: it is not told.
-    fn held_job(&self, job: JobId, result_bytes: &mut usize) -> Option<FencedJob> {
+    /// Reports the records of a job. `None` if the job was never placed here,
+    /// even if tombstones exist for it.
+    fn fenced_job(&self, job: JobId, result_bytes: &mut usize) -> Option<FencedJob> {
         let origin = self.store.of_job(job).find_map(|(_, record)| record.origin)?;
         let reports = self.store.of_job(job).map(|(&task, record)| {
-            let record = record.state.known();
-            TaskReport { task, record: within(record, result_bytes) }
+            let record = record.state.to_record();
+            TaskReport { task, record: limit_result(record, result_bytes) }
         });
         let Origin { task_count, content } = origin;
         Some(FencedJob { job, task_count, content, tasks: reports.collect() })
     }
 
     fn report(&self, task: TaskId) -> Option<TaskReport> {
-        let record = self.store.get(&task)?.state.known();
+        let record = self.store.get(&task)?.state.to_record();
         Some(TaskReport { task, record })
     }
 
-    /// Takes the upstream's new state. Queued tasks are dropped when it stops
-    /// taking work; running ones go on.
+    /// Sets the upstream's state. When the upstream stops accepting work, queued
+    /// tasks are dropped and returned; running ones continue.
     pub fn set_upstream(&mut self, upstream: UpstreamState) -> Vec<SettledTask> {
         self.upstream = upstream;
         match upstream {
@@ -383,32 +393,33 @@
         }
     }
 
-    /// Takes note of whether the upstream's data centre is evacuated. Queued tasks
-    /// are dropped then; running ones go on.
+    /// Sets whether the upstream's data centre is evacuated. If it is, queued
+    /// tasks are dropped and returned; running ones continue.
     pub fn set_evacuated(&mut self, evacuated: bool) -> Vec<SettledTask> {
         self.evacuated = evacuated;
         if evacuated { self.drop_all_queued(Reason::Evacuated, false) } else { Vec::new() }
     }
 
-    /// Takes nothing new from now on, and drops what is queued.
+    /// Refuses new placements from now on, and drops and returns queued tasks.
     pub fn drain(&mut self) -> Vec<SettledTask> {
         self.draining = true;
         self.drop_all_queued(Reason::Draining, true)
     }
 
-    /// Whether placements of this run of an entry are refused for good.
+    /// Returns whether this run of an entry is fenced: all its placements are
+    /// refused.
     #[must_use]
     pub fn is_fenced(&self, home: Incarnation) -> bool {
         self.fences.contains(home)
     }
 
-    /// The upstream's state.
+    /// Returns the upstream's state, as last set.
     #[must_use]
     pub fn upstream(&self) -> UpstreamState {
         self.upstream
     }
 
-    /// Counts for load reports and gauges.
+    /// Returns the counts for load reports and gauges.
     #[must_use]
     pub fn counts(&self) -> Counts {
         Counts {
@@ -426,23 +437,26 @@
     }
 }
 
-fn within_reply(reports: impl Iterator<Item = TaskReport>) -> Vec<TaskReport> {
+/// Replaces results that exceed the limit of one reply.
+fn limit_results(reports: impl Iterator<Item = TaskReport>) -> Vec<TaskReport> {
     let mut result_bytes = 0;
-    let cut = |report: TaskReport| TaskReport {
+    let limited = |report: TaskReport| TaskReport {
         task: report.task,
-        record: within(report.record, &mut result_bytes),
+        record: limit_result(report.record, &mut result_bytes),
     };
-    reports.map(cut).collect()
+    reports.map(limited).collect()
 }
 
-fn within(record: TaskRecord, result_bytes: &mut usize) -> TaskRecord {
+/// Adds the record's result to `result_bytes`, or replaces the record by
+/// [`TaskRecord::EndDropped`] if the reply has no room for it.
+fn limit_result(record: TaskRecord, result_bytes: &mut usize) -> TaskRecord {
     let TaskRecord::Ended(TaskEnd::Finished(result)) = &record else {
         return record;
     };
-    let wanted = *result_bytes + result.0.len();
-    if wanted > REPLY_RESULT_BYTES {
+    let needed = *result_bytes + result.0.len();
+    if needed > REPLY_RESULT_BYTES {
         return TaskRecord::EndDropped;
     }
-    *result_bytes = wanted;
+    *result_bytes = needed;
     record
 }
--- a/crates/decide/src/gate/fences.rs
+++ b/crates/decide/src/gate/fences.rs
@@ -1,10 +1,10 @@
-//! Runs of entries that are fenced for good.
+//! Fenced runs of entries. A fence is permanent.
 
 use {std::collections::HashSet, sycamorerail_wire::ids::Incarnation};
 
-/// Most fenced incarnations. A fleet of 100 entries that are all lost once an
-/// hour reaches it after 27 days of one run of an agent; from then on the agent
-/// takes no placements until it is restarted, for it could not keep a fence.
+/// Maximum number of fenced incarnations. A fleet of 100 entries that all fail
+/// once an hour reaches it after 27 days of one run of an agent. When a further
+/// fence cannot be stored, the agent refuses all placements until it is restarted.
 pub const MAX_FENCED: usize = 65_536;
 
 #[derive(Debug, Default)]
@@ -26,7 +26,7 @@
         self.fenced.contains(&home)
     }
 
-    /// A fence could not be kept: any home may be fenced.
+    /// Whether a fence could not be stored, so that any home may be fenced.
     pub(super) fn is_full(&self) -> bool {
         self.overflowed
     }
--- a/crates/decide/src/gate/queue.rs
+++ b/crates/decide/src/gate/queue.rs
@@ -1,4 +1,4 @@
-//! Placements that wait for a slot.
+//! Placements that wait at the agent for a free slot.
 
 use {
     super::TaskStart,
@@ -6,13 +6,14 @@
     sycamorerail_wire::{answer::Reason, ids::Incarnation, message::Placement},
 };
 
-/// Place in the queue: lower urgency numbers first, then the earlier.
+/// Position in the queue: lower urgency numbers first, then the one queued first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct QueueKey {
     urgency: u8,
     sequence: u64,
 }
 
+/// A placement in the queue.
 #[derive(Debug)]
 pub(super) struct Queued {
     pub(super) placement: Placement,
@@ -31,8 +32,8 @@
         }
     }
 
-    /// Why it may not start any more.
-    pub(super) fn lapsed(&self, now_ms: u64) -> Option<Reason> {
+    /// Why the task may no longer start; `None` if it may.
+    pub(super) fn expiry_reason(&self, now_ms: u64) -> Option<Reason> {
         if now_ms >= self.end_by_ms {
             return Some(Reason::DeadlinePassed);
         }
--- a/crates/decide/src/gate/record.rs
+++ b/crates/decide/src/gate/record.rs
@@ -1,4 +1,4 @@
-//! What an agent keeps of each task, in order of its last change.
+//! Records of tasks that an agent keeps, and their expiry.
 
 use {
     super::queue::QueueKey,
@@ -10,20 +10,20 @@
     },
 };
 
-/// Memory of one record: its entry in a tree whose nodes are at least half
-/// full, and its entry in a ring that grows by doubling. Results and queued
-/// payloads are counted apart.
+/// Memory of one record: its element in a B-tree whose nodes are at least half
+/// full, and its element in a ring buffer that grows by doubling. Results and
+/// queued payloads are counted separately.
 pub const RECORD_COST_BYTES: u64 =
     2 * (size_of::<(TaskId, Record)>() + size_of::<(u64, TaskId)>()) as u64;
 
-/// Where the time of a task went: in the upstream, and queued at the agent.
+/// Time that a task ran at the upstream, and time it was queued at the agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct RunTimes {
     pub(super) run_us: u64,
     pub(super) queued_us: u64,
 }
 
-/// What a placement told of its job.
+/// What a placement says about its job.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Origin {
     pub(super) task_count: u16,
@@ -52,7 +52,8 @@
         Self::Ended { end, times: RunTimes { run_us: 0, queued_us: queued_ms * 1000 } }
     }
 
-    /// The reply to a placement of the task; `None` while it is in flight.
+    /// Returns the reply to a placement of the task; `None` while the task is
+    /// queued or running.
     pub(super) fn reply(&self) -> Option<AgentReplyBody> {
         Some(match self {
             Self::Queued(_) | Self::Running { .. } => return None,
@@ -69,8 +70,9 @@
         })
     }
 
-    /// What a revoke or fence tells. Neither leaves a task queued.
-    pub(super) fn known(&self) -> TaskRecord {
+    /// Converts the state for the report of a revoke or fence. Both remove the
+    /// task from the queue first, so a queued task counts as never started.
+    pub(super) fn to_record(&self) -> TaskRecord {
         match self {
             Self::Running { .. } => TaskRecord::Running,
             Self::Ended { end, .. } => TaskRecord::Ended(end.clone()),
@@ -80,7 +82,7 @@
         }
     }
 
-    /// Drops a result; a failure stays one, without its detail.
+    /// Drops the result. A failure stays a failure but loses its detail.
     fn drop_result(&mut self) {
         match self {
             Self::Ended { end: TaskEnd::Failed { detail, .. }, .. } => *detail = String::new(),
@@ -110,8 +112,9 @@
     pub(super) state: State,
 }
 
-/// All records. Those that will not change any more are also in a ring by the
-/// time of their last change, with the point up to which results were dropped.
+/// All records. Settled records, which no longer change, are also in a ring
+/// buffer in the order of their last change. `results_dropped` counts the
+/// records at its front whose results were dropped.
 #[derive(Debug, Default)]
 pub(super) struct Store {
     records: BTreeMap<TaskId, Record>,
@@ -149,7 +152,7 @@
         self.records.remove(task);
     }
 
-    /// Gives a record its last state.
+    /// Sets the final state of a record.
     pub(super) fn settle(&mut self, task: TaskId, state: State, now_ms: u64) {
         let Some(record) = self.records.get_mut(&task) else {
             return;
--- a/crates/decide/src/gate/types.rs
+++ b/crates/decide/src/gate/types.rs
@@ -1,4 +1,4 @@
-//! What the gate is told and what it decides.
+//! Inputs and decisions of the gate.
 
 use sycamorerail_wire::{
     answer::{Reason, TaskReport},
@@ -6,75 +6,77 @@
     message::{AgentReplyBody, FencedJob, Placement},
 };
 
-/// Bounds of a gate.
+/// Memory and time limits of a gate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// How long a record is kept after its last change.
+    /// How long a record is kept after its last change, in milliseconds.
     pub retention_ms: u64,
-    /// Most bytes of kept results.
+    /// Maximum bytes of kept results.
     pub kept_result_bytes: u64,
-    /// Most bytes of records and queued payloads.
+    /// Maximum bytes of records and queued payloads.
     pub record_bytes: u64,
-    /// Most tasks that wait for a slot.
+    /// Maximum number of tasks that wait for a slot.
     pub max_queued: usize,
 }
 
-/// Whether the upstream takes work.
+/// Whether the upstream accepts work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpstreamState {
-    /// None has announced itself.
+    /// No upstream has announced itself.
     Absent,
-    /// It takes work.
+    /// The upstream accepts work.
     Serving {
-        /// Tasks it runs at once.
+        /// Number of tasks that it runs concurrently.
         slots: u16,
     },
-    /// It announced leaving, or its lease lapsed.
+    /// The upstream announced that it leaves, or its lease expired.
     Leaving,
 }
 
-/// A task to be started now. Its record is made already.
+/// A task to be started now. The gate already holds its record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TaskStart {
-    /// What to start.
+    /// The placement to start.
     pub placement: Placement,
-    /// When the task must have ended.
+    /// Time by which the task must have ended, in monotonic milliseconds.
     pub end_by_ms: u64,
-    /// Time it waited for a slot.
+    /// Time that it waited for a slot, in milliseconds.
     pub queued_ms: u64,
 }
 
-/// What becomes of a placement.
+/// The gate's decision on a placement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PlacementDecision {
-    /// Start it now.
+    /// Start the task now.
     Start(Box<TaskStart>),
-    /// It waits for a slot.
+    /// The task waits for a slot.
     Queued {
-        /// When it is dropped unless it has started.
+        /// When the task is dropped unless it has started, in monotonic
+        /// milliseconds.
         start_by_ms: u64,
     },
-    /// An earlier placement of the task is queued or running: wait for it.
+    /// An earlier placement of the task is queued or running; its reply answers
+    /// this placement too.
     Joined,
-    /// An earlier placement decided this.
+    /// The task is settled: this is the reply to any further placement of it.
     Settled(AgentReplyBody),
-    /// Not taken, no record made.
+    /// The placement is refused. No record was created.
     Refused(PlacementRefusal),
 }
 
-/// Why a placement was not taken.
+/// Why a placement was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PlacementRefusal {
-    /// Why.
+    /// The reason that the reply carries.
     pub reason: Reason,
-    /// No later placement of the task starts here either.
+    /// Whether later placements of the task are certain not to start here either.
     pub never: bool,
-    /// When a slot is expected to be free.
+    /// Time until a slot is expected to be free, in milliseconds.
     pub retry_after_ms: u32,
 }
 
 impl PlacementRefusal {
-    /// The reply that tells it.
+    /// Converts the refusal to a reply.
     #[must_use]
     pub fn reply(self) -> AgentReplyBody {
         let Self { reason, never, retry_after_ms } = self;
@@ -82,42 +84,42 @@
     }
 }
 
-/// A task on which everyone who waits for it must be told the reply.
+/// A task whose outcome is decided. The reply goes to everyone who waits for it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettledTask {
     /// The task.
     pub task: TaskId,
-    /// What became of it.
+    /// The reply to its placements.
     pub reply: AgentReplyBody,
 }
 
-/// Whether the upstream may be called for a task that [`PlacementDecision::Start`] or
-/// [`Gate::take_next`](super::Gate::take_next) told to start.
+/// Whether the agent may call the upstream for a task that [`PlacementDecision::Start`] or
+/// [`Gate::take_next`](super::Gate::take_next) started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallPermit {
-    /// Call it.
+    /// The agent may call the upstream.
     Granted,
-    /// The task was revoked meanwhile.
+    /// The task was revoked before the call.
     Revoked,
-    /// The upstream was called for it already: a broken invariant.
+    /// The upstream was already called for the task, which breaks an invariant.
     AlreadyCalled,
 }
 
-/// What a revoke did.
+/// Result of a revoke.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RevokeOutcome {
-    /// What is known of each task.
+    /// The record of each task that has one.
     pub reports: Vec<TaskReport>,
-    /// Tasks whose waiters must be told.
+    /// Tasks that the revoke settled.
     pub settled: Vec<SettledTask>,
-    /// Tasks whose call to the upstream must be ended.
+    /// Tasks whose call to the upstream must be aborted.
     pub aborted: Vec<TaskId>,
 }
 
-/// What a fence did.
+/// Result of a fence.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FenceOutcome {
-    /// What is held of the jobs asked for.
+    /// The records of the given jobs.
     pub jobs: Vec<FencedJob>,
     /// Queued tasks that were dropped.
     pub settled: Vec<SettledTask>,
@@ -126,11 +128,11 @@
 /// Counts for load reports and gauges.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Tasks running.
+    /// Running tasks.
     pub running: usize,
-    /// Tasks waiting for a slot.
+    /// Tasks that wait for a slot.
     pub queued: usize,
-    /// Records in all.
+    /// Records of all states.
     pub records: usize,
     /// Bytes of records and queued payloads.
     pub record_bytes: u64,
--- a/crates/decide/src/hedge.rs
+++ b/crates/decide/src/hedge.rs
@@ -1,52 +1,52 @@
-//! When a slow request gets a second attempt beside the first.
+//! Hedging: a slow request gets a second attempt that runs beside the first.
 //!
-//! A hedge trades messages and slots for the tail of the response time. It is
-//! made only where the kind may run twice and its parameters prefer time, once
-//! a request, while a slot is free, and from the budget of retries: under
-//! overload all attempts are slow, and hedges would make them slower.
+//! A hedge costs messages and slots and shortens the tail of the response time. It
+//! requires a kind that may run twice and whose parameters prefer time, and a free
+//! slot. Each request gets at most one, paid from the retry budget: under overload
+//! all attempts are slow, and hedges would make them slower.
 
 use crate::retry::RetryBudget;
 
-/// Shortest run time worth a hedge, in microseconds: below, the second attempt
+/// Shortest run time before a hedge, in microseconds. Below it, a second attempt
 /// costs about as much as it could gain.
 const MIN_HEDGE_AFTER_US: u64 = 2_000;
 
-/// A running request, as far as hedging goes.
+/// Properties of a running request that decide about a hedge.
 #[derive(Clone, Copy, Debug)]
 pub struct RunningRequest {
-    /// Its kind may run more than once.
+    /// Whether its kind may run more than once.
     pub repeatable: bool,
-    /// Its kind's parameters prefer time to waste.
+    /// Whether its kind's parameters prefer a short response time to low waste.
     pub prefers_time: bool,
-    /// The percentile of its kind's run times after which it counts as slow,
-    /// in microseconds; `None` if none is set or known.
+    /// Run time after which it counts as slow, in microseconds: a percentile of its
+    /// kind's run times; `None` if none is set or known.
     pub slow_after_us: Option<u64>,
-    /// Attempts made.
+    /// Number of attempts so far.
     pub attempts: u8,
-    /// Most attempts that the kind allows.
+    /// Maximum number of attempts that the kind allows.
     pub max_attempts: u8,
     /// When the running attempt was placed, in monotonic milliseconds.
     pub placed_at_ms: u64,
-    /// The deadline, in monotonic milliseconds.
+    /// Deadline, in monotonic milliseconds.
     pub deadline_ms: u64,
 }
 
-/// Whether to hedge.
+/// Decision about a hedge.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Hedge {
     /// Never for this request.
     Never,
-    /// Look again at this time, in monotonic milliseconds.
+    /// Decide again at this time, in monotonic milliseconds.
     RecheckAt(u64),
-    /// Now, if an upstream not tried yet is free; paid for from the budget.
+    /// Now, if an untried upstream is free. The budget has been charged.
     Now,
 }
 
 /// Decides whether a running request is hedged.
 ///
 /// `has_free_slot` tells whether a slot is free beyond those that waiting tasks
-/// will take. Without one, or without budget, it is looked at again after as
-/// long a time.
+/// will take. Without a free slot or without budget, the decision is repeated after
+/// the same time once more.
 #[must_use]
 pub fn decide_hedge(
     running: &RunningRequest,
@@ -71,7 +71,8 @@
     Hedge::RecheckAt(now_ms + slow_after_ms)
 }
 
-/// One hedge a request: the second attempt is the last that runs beside.
+/// Returns whether the request may be hedged at all. Only the first attempt is
+/// hedged, so that a request has at most one hedge.
 fn may_hedge(running: &RunningRequest) -> bool {
     running.repeatable
         && running.prefers_time
--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -1,6 +1,6 @@
-//! Pure decisions: no input or output, no clock and no randomness but by
-//! argument. Every function that depends on the present time takes `now_ms`,
-//! the process's monotonic time in milliseconds.
+//! Decision logic without side effects: it performs no input or output, and
+//! receives time and randomness as arguments. Every function that depends on the
+//! current time takes `now_ms`, the process's monotonic time in milliseconds.
 
 pub mod ack_tracker;
 pub mod admission;
--- a/crates/decide/src/placement/candidate.rs
+++ b/crates/decide/src/placement/candidate.rs
@@ -1,4 +1,4 @@
-//! Which rows a task may go to, and the best among those looked at.
+//! Filters the upstreams that a task may go to, and keeps the best one examined.
 
 use {
     super::{
@@ -8,21 +8,21 @@
     crate::view::{UpstreamKey, UpstreamRow, View},
 };
 
-/// Longest time until a waiting task asks again, in milliseconds.
+/// Longest delay before a waiting task queries again, in milliseconds.
 const MAX_RETRY_AFTER_MS: u32 = 50;
 
-/// Free rows after which no better one is looked for. The best of several
-/// random ones has more slots free than one at random, so that entries which
-/// share the upstreams meet less often in the last slot of one; the best of
-/// all would draw all entries to the same.
-const ENOUGH_FREE: u32 = 8;
+/// Number of free rows after which the search ends. The best of several random
+/// rows has more free slots than a single random row, so that entries compete
+/// less often for the last slot of an upstream. The best of all rows would attract
+/// all entries to the same upstream.
+const SUFFICIENT_FREE_ROWS: u32 = 8;
 
-/// Rows with room in their queue only, after which just rows with a free slot
-/// are looked for: the shortest wait of that many random ones is close to the
-/// shortest of all, at a fraction of the cost in a fleet that is full.
-const ENOUGH_WAITING: u32 = 32;
+/// Number of rows with room only in their queue, after which the search considers
+/// only rows with a free slot. The shortest wait of that many random rows is close
+/// to the shortest of all, and costs a fraction of it in a full fleet.
+const SUFFICIENT_QUEUE_ONLY_ROWS: u32 = 32;
 
-/// A row that a task may go to.
+/// An upstream that a task may go to.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct Candidate {
     pub(super) key: UpstreamKey,
@@ -33,7 +33,7 @@
 }
 
 impl Candidate {
-    /// The earlier start is better, then the spread, then more room.
+    /// Compares by the earlier start, then the better spread, then more free slots.
     pub(super) fn is_better_than(&self, other: &Self) -> bool {
         if self.wait_us != other.wait_us {
             return self.wait_us < other.wait_us;
@@ -44,30 +44,31 @@
         self.free_slots > other.free_slots
     }
 
-    fn is_settling(&self) -> bool {
+    fn is_preferred_and_free(&self) -> bool {
         self.free_slots > 0 && self.rank == SpreadRank::Preferred
     }
 
-    fn is_waiting(&self) -> bool {
+    fn is_queue_only(&self) -> bool {
         self.free_slots <= 0 && self.rank < SpreadRank::OverShare
     }
 }
 
-/// What was seen of the rows for one task.
+/// Search for the best row for one task.
 #[derive(Debug)]
-pub(super) struct Survey<'a> {
+pub(super) struct RowSearch<'a> {
     query: &'a PlacementQuery<'a>,
     rule: SpreadRule<'a>,
     now_ms: u64,
     best: Option<Candidate>,
     best_over_share: Option<Candidate>,
-    settling: u32,
-    waiting: u32,
-    /// A row has room if it has more free slots than this.
+    preferred_free: u32,
+    queue_only: u32,
+    /// A row has room if it has more free slots than this; negative where tasks may
+    /// queue at the upstream.
     full_slots: i64,
 }
 
-impl<'a> Survey<'a> {
+impl<'a> RowSearch<'a> {
     pub(super) fn new(view: &'a View, query: &'a PlacementQuery<'a>, now_ms: u64) -> Self {
         Self {
             query,
@@ -75,18 +76,18 @@
             now_ms,
             best: None,
             best_over_share: None,
-            settling: 0,
-            waiting: 0,
+            preferred_free: 0,
+            queue_only: 0,
             full_slots: -i64::from(query.max_queued),
         }
     }
 
-    /// The row as a candidate, if it has room and stands best by the spread.
+    /// Returns the row as a candidate if it has room and is preferred by the spread.
     pub(super) fn preferred(&self, row: &UpstreamRow) -> Option<Candidate> {
         self.candidate(row).filter(|it| it.rank == SpreadRank::Preferred)
     }
 
-    /// Looks at a row and keeps the best. Returns whether to go on looking.
+    /// Examines a row and keeps the best. Returns whether to continue the search.
     pub(super) fn consider(&mut self, row: &UpstreamRow) -> bool {
         let Some(candidate) = self.candidate(row) else { return true };
         let is_over = candidate.rank == SpreadRank::OverShare;
@@ -95,30 +96,31 @@
             *best = Some(candidate);
         }
         self.count(&candidate);
-        self.settling < ENOUGH_FREE
+        self.preferred_free < SUFFICIENT_FREE_ROWS
     }
 
     fn count(&mut self, candidate: &Candidate) {
-        self.settling += u32::from(candidate.is_settling());
-        self.waiting += u32::from(candidate.is_waiting());
-        if self.waiting >= ENOUGH_WAITING {
+        self.preferred_free += u32::from(candidate.is_preferred_and_free());
+        self.queue_only += u32::from(candidate.is_queue_only());
+        if self.queue_only >= SUFFICIENT_QUEUE_ONLY_ROWS {
             self.full_slots = 0;
         }
     }
 
-    /// The choice, once all rows were looked at or enough of them.
+    /// Returns the choice after the search.
     pub(super) fn choice(&self, view: &View) -> Choice {
         if let Some(best) = self.best {
             return Choice::Place(best.key);
         }
         match self.best_over_share {
-            Some(best) if !self.serves_below_share(view) => Choice::Place(best.key),
-            _ if self.is_never(view) => Choice::Never,
+            Some(best) if !self.has_row_below_share(view) => Choice::Place(best.key),
+            _ if self.is_unplaceable(view) => Choice::Never,
             _ => Choice::Wait { retry_after_ms: self.retry_after_ms(view) },
         }
     }
 
-    /// Most rows of a loaded fleet have no room: that is looked at first.
+    /// Returns the row as a candidate if the task may go there now. Checks for room
+    /// first, because most rows of a loaded fleet have none.
     fn candidate(&self, row: &UpstreamRow) -> Option<Candidate> {
         let free_slots = row.free_slots();
         if free_slots <= self.full_slots || !self.is_allowed(row) {
@@ -133,26 +135,26 @@
         self.query.run_ms as f32 * 1_000.0
     }
 
-    /// Whether the task may go there, now or once there is room.
+    /// Returns whether the task may go there, now or once there is room.
     fn is_allowed(&self, row: &UpstreamRow) -> bool {
-        row.takes_work(self.now_ms) && self.could_go_to(row) && !self.query.tried.contains(&row.key)
+        row.takes_work(self.now_ms) && self.is_eligible(row) && !self.query.tried.contains(&row.key)
     }
 
-    fn could_go_to(&self, row: &UpstreamRow) -> bool {
+    fn is_eligible(&self, row: &UpstreamRow) -> bool {
         row.can_serve(self.query.kind, self.query.size_bytes) && !self.rule.forbids(row)
     }
 
-    fn serves_below_share(&self, view: &View) -> bool {
+    fn has_row_below_share(&self, view: &View) -> bool {
         let is_below = |row: &UpstreamRow| self.rule.rank(row) < SpreadRank::OverShare;
         view.rows.iter().any(|row| self.is_allowed(row) && is_below(row))
     }
 
-    fn is_never(&self, view: &View) -> bool {
-        !view.rows.is_empty() && !view.rows.iter().any(|row| self.could_go_to(row))
+    fn is_unplaceable(&self, view: &View) -> bool {
+        !view.rows.is_empty() && !view.rows.iter().any(|row| self.is_eligible(row))
     }
 
-    /// The shortest wait of the first full rows that the task may go to: a
-    /// longer look costs more than asking again.
+    /// Returns the shortest wait of the first 64 full rows that the task may go to;
+    /// examining more costs more than another query.
     fn retry_after_ms(&self, view: &View) -> u32 {
         let allowed = view.rows.iter().filter(|row| self.is_allowed(row));
         let waits_us = allowed.map(|row| row.expected_wait_us(self.run_hint_us()));
--- a/crates/decide/src/placement/late_binding.rs
+++ b/crates/decide/src/placement/late_binding.rs
@@ -1,4 +1,4 @@
-//! Late binding: a task stays at the entry until a slot is free.
+//! Late binding: a task waits at the entry until a slot is free.
 
 use {
     super::{Choice, PlacementQuery, least_wait},
@@ -6,14 +6,15 @@
     rand::RngCore,
 };
 
-/// Chooses among upstreams with a free slot as far as known, and leaves the
-/// task at the entry when there is none.
+/// Chooses among upstreams with a known free slot, and leaves the task at the
+/// entry if there is none.
 ///
-/// A task bound late goes to the slot that frees first, wherever that is: a
-/// wrong estimate of run time costs nothing, where a task queued at a straggler
-/// waits for it. The price is the round trip from the freed slot to the entry
-/// and back. Entries share upstreams without asking each other, so two may fill
-/// the same last slot: the agent then queues the second shortly or refuses it.
+/// The task goes to the slot that becomes free first, at any upstream. A wrong
+/// estimate of the run time then costs nothing, whereas a task queued at a
+/// straggler waits for it. The cost is the round trip from the freed slot to the
+/// entry and back. Entries share upstreams without coordination, so that two may
+/// choose the same last slot; the agent then queues the second task briefly or
+/// refuses it.
 pub fn late_binding(
     view: &View,
     query: &PlacementQuery<'_>,
--- a/crates/decide/src/placement/least_wait.rs
+++ b/crates/decide/src/placement/least_wait.rs
@@ -1,29 +1,29 @@
-//! Least expected wait on the view.
+//! Least expected wait.
 
 use {
-    super::{Choice, PlacementQuery, candidate::Survey, walk::Walk},
+    super::{Choice, PlacementQuery, candidate::RowSearch, walk::StridedRows},
     crate::view::View,
     rand::RngCore,
 };
 
-/// Chooses the upstream at which the task is expected to start first, by the
-/// observed run times there; among those with a free slot the one with most
-/// free of a few at random.
+/// Chooses the upstream at which the task is expected to start first, by the run
+/// times observed there. If several have a free slot, it chooses the one with the
+/// most free slots among a few random ones.
 ///
-/// Rows are looked at in a random order until a few free ones are met, so that
-/// the cost falls with the share of free upstreams; all are looked at when
-/// hardly any is free.
+/// It examines rows in random order until it has found a few free ones, so that
+/// the cost falls with the share of free upstreams. If hardly any is free, it
+/// examines all rows.
 pub fn least_wait(
     view: &View,
     query: &PlacementQuery<'_>,
     rng: &mut dyn RngCore,
     now_ms: u64,
 ) -> Choice {
-    let mut survey = Survey::new(view, query, now_ms);
-    for row in Walk::new(&view.rows, rng) {
-        if !survey.consider(row) {
+    let mut search = RowSearch::new(view, query, now_ms);
+    for row in StridedRows::new(&view.rows, rng) {
+        if !search.consider(row) {
             break;
         }
     }
-    survey.choice(view)
+    search.choice(view)
 }
--- a/crates/decide/src/placement/mod.rs
+++ b/crates/decide/src/placement/mod.rs
@@ -1,9 +1,9 @@
-//! Choosing the upstream for a task. One file a policy.
+//! Placement policies, which choose the upstream for a task. Each has its own file.
 //!
-//! All policies keep the same rules: never an upstream that is leaving,
-//! ejected, already tried, too small, of another kind or beyond
-//! [`PlacementQuery::max_queued`]; and the spread of [`spread`]. They differ in the choice
-//! among the rest.
+//! All policies follow the same rules: they never choose an upstream that is
+//! leaving, evacuated, ejected, already tried, too small, does not serve the kind, or
+//! has [`PlacementQuery::max_queued`] tasks waiting; and they apply the rule of
+//! [`spread`]. They differ in the choice among the remaining upstreams.
 
 mod candidate;
 mod late_binding;
@@ -26,18 +26,18 @@
 /// How the tasks of a kind are spread across data centres.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Spread {
-    /// Over all data centres and racks alike.
+    /// Evenly over all data centres and racks.
     Even,
-    /// In the entry's own data centre while it has room.
+    /// In the entry's own data centre while that has room.
     Local,
-    /// Not in these data centres' places; see [`PlacementQuery::avoid`].
+    /// Never in the data centres of [`PlacementQuery::avoid`].
     Avoid,
 }
 
-/// What a task needs.
+/// Requirements of the task to be placed.
 #[derive(Clone, Copy, Debug)]
 pub struct PlacementQuery<'a> {
-    /// Its kind.
+    /// Kind of the task.
     pub kind: KindKey,
     /// Declared size in bytes, corrected by observation.
     pub size_bytes: u64,
@@ -47,40 +47,41 @@
     pub spread: Spread,
     /// The entry's own data centre.
     pub local: DataCentreKey,
-    /// Data centres not to be used, for [`Spread::Avoid`].
+    /// Data centres that must not be used, for [`Spread::Avoid`].
     pub avoid: &'a [DataCentreKey],
     /// Upstreams that already refused or failed this task.
     pub tried: &'a [UpstreamKey],
     /// Tasks of the same job already placed, by rack.
     pub siblings: &'a [(RackKey, u16)],
-    /// Most that may wait at an upstream beyond its slots, 0 to wait at the
-    /// entry until a slot is free (late binding).
+    /// Maximum number of tasks that may wait at an upstream beyond its slots; 0 to
+    /// wait at the entry until a slot is free (late binding).
     pub max_queued: u16,
 }
 
-/// What a policy decides.
+/// Decision of a policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Choice {
-    /// Send it there.
+    /// Send the task to this upstream.
     Place(UpstreamKey),
-    /// None has room now; ask again when one frees, at the latest in this time.
+    /// No upstream has room now. Query again when a slot becomes free, or after
+    /// this time at the latest.
     Wait {
-        /// In milliseconds.
+        /// Longest delay, in milliseconds.
         retry_after_ms: u32,
     },
-    /// Upstreams are known, and none of them could ever hold it.
+    /// Upstreams are known, but none of them could ever run the task.
     Never,
 }
 
-/// The function of a policy.
+/// Function of a policy. The last argument is `now_ms`.
 pub type ChooseFn =
     dyn Fn(&View, &PlacementQuery<'_>, &mut dyn RngCore, u64) -> Choice + Send + Sync;
 
-/// A way of choosing, by name.
+/// A named placement policy.
 pub struct Policy {
-    /// The name in settings, reports and counters.
+    /// Name in settings, reports and counters.
     pub name: &'static str,
-    /// Chooses for one task; the last argument is `now_ms`.
+    /// Chooses the upstream for one task.
     pub choose: Box<ChooseFn>,
 }
 
@@ -91,10 +92,10 @@
 }
 
 impl Policy {
-    /// The names that [`Policy::by_name`] knows.
+    /// Names that [`Policy::by_name`] accepts.
     pub const NAMES: [&'static str; 4] = ["random", "two_choices", "least_wait", "late_binding"];
 
-    /// Finds a policy by its name in templates.
+    /// Returns the policy with this name; `None` if the name is unknown.
     #[must_use]
     pub fn by_name(name: &str) -> Option<Self> {
         match name {
--- a/crates/decide/src/placement/random.rs
+++ b/crates/decide/src/placement/random.rs
@@ -1,9 +1,9 @@
-//! Random choice: the baseline.
+//! Random choice, the baseline of the policies.
 
 use {
     super::{
         Choice, PlacementQuery,
-        candidate::{Candidate, Survey},
+        candidate::{Candidate, RowSearch},
         least_wait,
         walk::any_row,
     },
@@ -11,27 +11,31 @@
     rand::RngCore,
 };
 
-/// Rows tried at random before all are looked at.
+/// Random rows to try before all rows are examined.
 const MAX_PROBES: u32 = 32;
 
-/// Chooses any upstream with room, each with the same chance.
+/// Chooses an upstream with room, each with the same probability.
 ///
-/// Where hardly any has room, it falls back on looking at all.
+/// If the random tries find none, it falls back to [`least_wait`].
 pub fn random(
     view: &View,
     query: &PlacementQuery<'_>,
     rng: &mut dyn RngCore,
     now_ms: u64,
 ) -> Choice {
-    let survey = Survey::new(view, query, now_ms);
-    match draw(view, &survey, rng) {
+    let search = RowSearch::new(view, query, now_ms);
+    match draw(view, &search, rng) {
         Some(candidate) => Choice::Place(candidate.key),
         None => least_wait(view, query, rng, now_ms),
     }
 }
 
-/// A random candidate that stands best by the rule of spread, `None` if some
-/// draws met none.
-pub(super) fn draw(view: &View, survey: &Survey<'_>, rng: &mut dyn RngCore) -> Option<Candidate> {
-    (0..MAX_PROBES).find_map(|_| survey.preferred(any_row(&view.rows, rng)?))
+/// Returns a random candidate that the spread rule prefers; `None` if none of the
+/// tries found one.
+pub(super) fn draw(
+    view: &View,
+    search: &RowSearch<'_>,
+    rng: &mut dyn RngCore,
+) -> Option<Candidate> {
+    (0..MAX_PROBES).find_map(|_| search.preferred(any_row(&view.rows, rng)?))
 }
--- a/crates/decide/src/placement/spread.rs
+++ b/crates/decide/src/placement/spread.rs
@@ -1,16 +1,19 @@
-//! Spread of a job's tasks over data centres and racks.
+//! Spread of a job's tasks over failure domains: data centres and racks.
 //!
-//! `Even` bounds what the loss of one place takes: of the tasks of a job placed
-//! so far, the next one included, a data centre gets at most half as much
-//! again as its fair share, and a rack at most as much of its data centre's bound. The
-//! fair share is an equal part, or the place's part of the upstreams where that
-//! is more: equal parts alone would fill a small data centre and leave a large
-//! one idle. The bounds of all places together always exceed the job, so that some place is always below its bound. Places below it may
-//! be full: the task waits for one of them. Where none of them takes work at
-//! all (leaving or ejected), the bound gives way, for a job held back for ever
-//! is worse than one spread badly.
+//! `Even` bounds the tasks of a job that the loss of one domain affects. Of the
+//! tasks placed so far, including the next one, a data centre receives at most one
+//! and a half times its fair share, and a rack at most one and a half times its
+//! fair share of the data centre's bound. The fair share is an equal part, or the
+//! domain's part of the upstreams if that is larger; equal parts alone would fill a
+//! small data centre and leave a large one idle.
 //!
-//! A job's first task and a single request have no siblings, and no bound.
+//! The bounds of all domains together always exceed the job, so that some domain is
+//! always below its bound. If the domains below their bound are full, the task
+//! waits for one of them. If none of them accepts work at all (for example because
+//! they are leaving or ejected), the bound is ignored, because a job that never
+//! runs is worse than one that is spread badly.
+//!
+//! The first task of a job and a single request have no siblings, and no bound.
 
 use {
     super::{PlacementQuery, Spread},
@@ -18,47 +21,47 @@
     std::cell::OnceCell,
 };
 
-/// A place's bound, in halves of its fair share.
+/// A domain's bound, in halves of its fair share.
 const BOUND_HALVES: u64 = 3;
 
 /// The fair share itself, in halves.
 const FAIR_HALVES: u64 = 2;
 
-/// How a row stands by the rule of spread.
+/// Rank of a row by the spread rule; a lower one is better.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum SpreadRank {
-    /// As good as any.
+    /// The best rank.
     Preferred,
-    /// Allowed; taken where no preferred row is free.
+    /// Chosen if no preferred row is better.
     Allowed,
-    /// Its data centre or rack has its share of the job; taken where no place
-    /// below its share takes work.
+    /// Its data centre or rack has reached its bound; chosen if no row below the
+    /// bound accepts work.
     OverShare,
 }
 
-/// The rule of spread for one task.
+/// The spread rule for one task.
 #[derive(Debug)]
 pub enum SpreadRule<'a> {
-    /// Every place alike.
+    /// All rows have the same rank.
     Any,
     /// This data centre is preferred.
     Local(DataCentreKey),
     /// These data centres are forbidden.
     Avoid(&'a [DataCentreKey]),
-    /// Places below their share of the job are preferred. They are counted when
-    /// the first row is asked about: none is while no row has room.
+    /// Rows in domains below their share of the job are preferred. The domains are
+    /// counted when the first row is ranked; while no row has room, none is.
     Shares {
-        /// The rows.
+        /// The upstreams.
         view: &'a View,
         /// The task, with its siblings.
         query: &'a PlacementQuery<'a>,
-        /// The counts, once asked for.
+        /// The counts, once they are needed.
         counts: OnceCell<DomainCounts>,
     },
 }
 
 impl<'a> SpreadRule<'a> {
-    /// The rule for a task that asks.
+    /// Returns the rule for a task.
     #[must_use]
     pub fn new(view: &'a View, query: &'a PlacementQuery<'a>) -> Self {
         match query.spread {
@@ -69,13 +72,13 @@
         }
     }
 
-    /// Whether the task may go there at all.
+    /// Returns whether the task must not go to this row.
     #[must_use]
     pub fn forbids(&self, row: &UpstreamRow) -> bool {
         matches!(self, Self::Avoid(avoid) if avoid.contains(&row.data_centre))
     }
 
-    /// How a row stands that is not forbidden.
+    /// Returns the rank of a row that is not forbidden.
     #[must_use]
     pub fn rank(&self, row: &UpstreamRow) -> SpreadRank {
         match self {
@@ -89,22 +92,23 @@
     }
 }
 
-/// A place's part of some tasks.
+/// A failure domain's fair share of some tasks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FairShare {
-    /// The tasks to share out.
+    /// Tasks to divide among the domains.
     pub tasks: u32,
-    /// Places that share them.
+    /// Number of domains.
     pub domains: u32,
-    /// Upstreams in this place.
+    /// Upstreams in this domain.
     pub domain_rows: u32,
-    /// Upstreams in all places.
+    /// Upstreams in all domains.
     pub rows: u32,
 }
 
 impl FairShare {
-    /// Most tasks that this place may hold: one and a half fair shares, rounded
-    /// up, where the fair share is an equal part or the part of the upstreams.
+    /// Returns the maximum number of tasks for this domain: one and a half fair
+    /// shares, rounded up. The fair share is the larger one of an equal part and the
+    /// domain's part of the upstreams.
     #[must_use]
     pub fn bound(&self) -> u32 {
         let tasks = BOUND_HALVES * u64::from(self.tasks);
@@ -113,8 +117,8 @@
         equal.max(by_rows) as u32
     }
 
-    /// Whether `placed` is not below that many halves of the fair share. By
-    /// multiplication, for it is asked for each rack at each choice.
+    /// Returns whether `placed` is at least that many halves of the fair share. It
+    /// runs for each rack at each choice, so it multiplies instead of dividing.
     fn is_reached(&self, placed: u32, halves: u64) -> bool {
         let placed = 2 * u64::from(placed);
         let tasks = halves * u64::from(self.tasks);
@@ -164,7 +168,8 @@
         counts
     }
 
-    /// Siblings in a rack that is gone count for the job, and for no place.
+    /// Adds the siblings to their racks. Siblings in a rack that no longer exists
+    /// count for the job, but for no domain.
     fn add_siblings(&mut self, siblings: &[(RackKey, u16)]) {
         for &(rack, tasks) in siblings {
             if let Some(rack) = self.racks.get_mut(usize::from(rack.0)) {
@@ -175,7 +180,8 @@
 
     fn sum_up(&mut self) {
         for rack in self.racks.iter().filter(|rack| rack.rows > 0) {
-            let data_centre = grown(&mut self.data_centres, usize::from(rack.data_centre.0));
+            let data_centre =
+                resized_to_index(&mut self.data_centres, usize::from(rack.data_centre.0));
             data_centre.racks += 1;
             data_centre.rows += rack.rows;
             data_centre.placed += rack.placed;
@@ -211,7 +217,7 @@
     }
 }
 
-fn grown<T: Clone + Default>(items: &mut Vec<T>, index: usize) -> &mut T {
+fn resized_to_index<T: Clone + Default>(items: &mut Vec<T>, index: usize) -> &mut T {
     if items.len() <= index {
         items.resize(index + 1, T::default());
     }
--- a/crates/decide/src/queue.rs
+++ b/crates/decide/src/queue.rs
@@ -1,24 +1,24 @@
-//! Tasks that wait at the entry for a free slot.
+//! Waiting queue of an entry: tasks that wait for a free slot.
 //!
-//! Order: the more urgent class first, strictly. Within a class, organisations
-//! share by start-time fair queueing: each has a virtual start tag, the lowest
-//! is served next, and serving a task moves the tag on by the task's cost over
-//! the organisation's weight. An organisation that floods the queue thus delays
-//! itself: another one's task waits for at most about one task of each
-//! organisation before it, however many they queued. Deficit round robin would
-//! do as well on long flows, but serves bursts of a quantum and needs a quantum
-//! that fits run times from 50 ms to several seconds.
+//! Classes of urgency have strict priority. Within a class, organisations are
+//! served by start-time fair queueing: each has a virtual start tag, the lowest
+//! tag is served next, and serving a task advances the tag by the task's cost
+//! divided by the organisation's weight. An organisation that floods the queue
+//! delays only itself: a task of another organisation waits for about one task of
+//! each organisation at most, however many they have queued. Deficit round robin
+//! would serve long flows equally well, but it serves bursts of one quantum, and
+//! needs a quantum that suits run times from 50 ms to several seconds.
 //!
-//! Within an organisation, tasks of a kind are served first in, first out, and
-//! the kind with the oldest task is tried first; a kind whose upstreams are all
-//! busy does not hold up the organisation's others.
+//! Within an organisation, tasks of a kind are served first in, first out. The
+//! kind with the oldest task is tried first, and a kind whose upstreams are all
+//! busy does not block the organisation's other kinds.
 //!
-//! Room is shared by a dynamic threshold: an organisation may hold as many
-//! tasks as places are left free. One alone fills half of the queue, and there
-//! is always room for the next.
+//! A dynamic threshold divides the room: an organisation may hold as many tasks as
+//! there are free places. A single organisation fills at most half of the queue,
+//! and the next one always finds room.
 //!
-//! Each operation costs O(log n) for n waiting tasks, and O(organisations) for
-//! each attempt to place one that finds no room.
+//! Each operation costs O(log n) for n waiting tasks, and each attempt to place a
+//! task that finds no room costs O(organisations).
 
 use {
     crate::view::KindKey,
@@ -27,47 +27,48 @@
     sycamorerail_wire::ids::OrganisationKey,
 };
 
-/// Virtual time of one unit of cost at weight 1: leaves room for division.
+/// Virtual time of one unit of cost at weight 1. It is large so that the division
+/// by a weight keeps its precision.
 const TAG_SCALE: u64 = 1 << 16;
 
 new_key_type! {
-    /// A waiting task.
+    /// Key of a waiting task.
     pub struct WaitingKey;
 }
 
-/// Where a waiting task stands in the order.
+/// Parameters that determine when a waiting task is served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SchedulingParams {
-    /// Whose it is.
+    /// Organisation that the task belongs to.
     pub organisation: OrganisationKey,
-    /// Its kind.
+    /// Kind of the task.
     pub kind: KindKey,
-    /// Lower goes first.
+    /// Class of urgency; a lower number is served first.
     pub urgency: u8,
-    /// The organisation's weight against others in its class, at least 1.
+    /// The organisation's weight relative to others in its class, at least 1.
     pub weight: u32,
-    /// What it takes of the upstreams: expected run time, in milliseconds.
+    /// Cost of the task: its expected run time, in milliseconds.
     pub cost_ms: u32,
-    /// Started later it misses its deadline, in monotonic milliseconds.
+    /// Latest start that meets the deadline, in monotonic milliseconds.
     pub latest_start_ms: u64,
 }
 
-/// Tasks before a new one, for its expected wait.
+/// Waiting tasks ahead of a new one, to estimate its wait.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Backlog {
     /// Waiting tasks that are more urgent.
     pub more_urgent: u32,
-    /// Waiting tasks of its class.
+    /// Waiting tasks of the same class.
     pub class_tasks: u32,
-    /// Of those, the organisation's own.
+    /// Waiting tasks of the same class and organisation.
     pub own_tasks: u32,
-    /// Organisations with tasks in its class, the asking one included.
+    /// Organisations with tasks in the class, including that of the new task.
     pub organisations: u32,
 }
 
 impl Backlog {
-    /// Tasks served before a new one of the organisation, at most: of its
-    /// class all, or under fair shares as many of each other as of its own.
+    /// Returns the maximum number of tasks served before a new one: all tasks of the
+    /// class, or with fair shares as many of each other organisation as of its own.
     #[must_use]
     pub fn tasks_ahead(&self) -> u32 {
         let fair = (self.own_tasks + 1).saturating_mul(self.organisations.max(1)) - 1;
@@ -85,21 +86,22 @@
 /// Tasks of one organisation in one class.
 #[derive(Debug, Default)]
 struct Flow {
-    /// By kind, in the order of arrival.
-    lanes: Vec<(KindKey, BTreeMap<u64, WaitingKey>)>,
+    /// Queue of each kind, in the order of arrival.
+    kind_queues: Vec<(KindKey, BTreeMap<u64, WaitingKey>)>,
     tasks: u32,
-    /// Virtual start of its next task.
+    /// Virtual start tag of its next task.
     tag: u64,
 }
 
+/// Tasks of one urgency.
 #[derive(Debug, Default)]
 struct Class {
     flows: HashMap<OrganisationKey, Flow>,
-    /// Flows with tasks, the next to serve first.
+    /// Flows with tasks, in the order of service.
     active: BTreeSet<(u64, OrganisationKey)>,
-    /// Flows without tasks whose tag is ahead of the virtual time: an
-    /// organisation does not gain by emptying its queue.
-    resting: BTreeSet<(u64, OrganisationKey)>,
+    /// Flows without tasks whose tag is ahead of the virtual time. They are kept so
+    /// that an organisation gains nothing by emptying its queue.
+    idle: BTreeSet<(u64, OrganisationKey)>,
     virtual_now: u64,
     tasks: u32,
 }
@@ -110,46 +112,46 @@
     items: SlotMap<WaitingKey, Waiting<T>>,
     classes: BTreeMap<u8, Class>,
     expiries: BTreeSet<(u64, WaitingKey)>,
-    held: HashMap<OrganisationKey, u32>,
+    waiting_tasks: HashMap<OrganisationKey, u32>,
     max_tasks: u32,
     next_sequence: u64,
 }
 
 impl<T> Queue<T> {
-    /// An empty queue for at most that many tasks.
+    /// Creates an empty queue for at most that many tasks.
     #[must_use]
     pub fn new(max_tasks: u32) -> Self {
         Self {
             items: SlotMap::with_key(),
             classes: BTreeMap::new(),
             expiries: BTreeSet::new(),
-            held: HashMap::new(),
+            waiting_tasks: HashMap::new(),
             max_tasks,
             next_sequence: 0,
         }
     }
 
-    /// Tasks waiting.
+    /// Returns the number of waiting tasks.
     #[must_use]
     pub fn len(&self) -> u32 {
         self.items.len() as u32
     }
 
-    /// Whether none waits.
+    /// Returns whether no task waits.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.items.is_empty()
     }
 
-    /// How many more tasks the organisation may add.
+    /// Returns how many more tasks the organisation may add.
     #[must_use]
     pub fn room_for(&self, organisation: OrganisationKey) -> u32 {
-        let held = self.held.get(&organisation).copied().unwrap_or(0);
-        // Each task added takes one of the places left as well.
-        (self.max_tasks - self.len()).saturating_sub(held).div_ceil(2)
+        let waiting_tasks = self.waiting_tasks.get(&organisation).copied().unwrap_or(0);
+        // Each added task also takes one of the free places.
+        (self.max_tasks - self.len()).saturating_sub(waiting_tasks).div_ceil(2)
     }
 
-    /// What waits before a new task.
+    /// Returns the waiting tasks ahead of a new one.
     #[must_use]
     pub fn backlog(&self, organisation: OrganisationKey, urgency: u8) -> Backlog {
         let more_urgent = self.classes.range(..urgency).map(|(_, class)| class.tasks).sum();
@@ -161,8 +163,11 @@
         Backlog { more_urgent, class_tasks: class.tasks, own_tasks, organisations }
     }
 
-    /// Adds a task behind the organisation's others; gives it back if the
-    /// organisation has no room.
+    /// Adds a task behind the organisation's other tasks of its kind.
+    ///
+    /// # Errors
+    ///
+    /// Returns the item if the organisation has no room.
     pub fn push(&mut self, params: SchedulingParams, item: T) -> Result<WaitingKey, T> {
         if self.room_for(params.organisation) == 0 {
             return Err(item);
@@ -171,21 +176,22 @@
         self.next_sequence += 1;
         let key = self.items.insert(Waiting { params, sequence, item });
         self.expiries.insert((params.latest_start_ms, key));
-        *self.held.entry(params.organisation).or_default() += 1;
+        *self.waiting_tasks.entry(params.organisation).or_default() += 1;
         self.classes.entry(params.urgency).or_default().push(&params, sequence, key);
         Ok(key)
     }
 
-    /// Takes the first task in order that `place` accepts.
+    /// Removes and returns the first task that `place` accepts, in the order of
+    /// service.
     ///
-    /// `place` is asked for the first task of each kind of each organisation,
-    /// at most `max_tries` times; it decides and, if it says yes, has placed.
+    /// `place` is called for the first task of each kind of each organisation, at
+    /// most `max_tries` times. It returns true if it has taken over the task.
     pub fn take_first(
         &mut self,
         max_tries: usize,
         mut place: impl FnMut(&SchedulingParams, &T) -> bool,
     ) -> Option<(SchedulingParams, T)> {
-        let key = self.heads().take(max_tries).find(|&key| {
+        let key = self.first_tasks().take(max_tries).find(|&key| {
             let Waiting { params, item, .. } = &self.items[key];
             place(params, item)
         })?;
@@ -196,29 +202,28 @@
         self.remove(key)
     }
 
-    fn heads(&self) -> impl Iterator<Item = WaitingKey> {
-        self.classes.values().flat_map(Class::heads)
+    fn first_tasks(&self) -> impl Iterator<Item = WaitingKey> {
+        self.classes.values().flat_map(Class::first_tasks)
     }
 
-    /// Takes a task out, because it was cancelled. It costs its organisation
-    /// nothing.
+    /// Removes a cancelled task. Its organisation is not charged for it.
     pub fn remove(&mut self, key: WaitingKey) -> Option<(SchedulingParams, T)> {
         let Waiting { params, sequence, item } = self.items.remove(key)?;
         self.expiries.remove(&(params.latest_start_ms, key));
-        if let Some(held) = self.held.get_mut(&params.organisation) {
-            *held -= 1;
-            if *held == 0 {
-                self.held.remove(&params.organisation);
+        if let Some(waiting_tasks) = self.waiting_tasks.get_mut(&params.organisation) {
+            *waiting_tasks -= 1;
+            if *waiting_tasks == 0 {
+                self.waiting_tasks.remove(&params.organisation);
             }
         }
         if let Some(class) = self.classes.get_mut(&params.urgency) {
-            class.forget(&params, sequence);
+            class.remove(&params, sequence);
         }
         Some((params, item))
     }
 
-    /// Takes out a task that can no longer meet its deadline, to be refused.
-    /// Call it until it returns `None`.
+    /// Removes and returns one task that can no longer meet its deadline; `None` if
+    /// there is no further one.
     pub fn take_expired(&mut self, now_ms: u64) -> Option<(SchedulingParams, T)> {
         let &(latest_start_ms, key) = self.expiries.first()?;
         if latest_start_ms >= now_ms {
@@ -227,7 +232,8 @@
         self.remove(key)
     }
 
-    /// When the next task becomes late, in monotonic milliseconds.
+    /// Returns when the next task can no longer meet its deadline, in monotonic
+    /// milliseconds.
     #[must_use]
     pub fn next_expiry_ms(&self) -> Option<u64> {
         self.expiries.first().map(|(latest_start_ms, _)| latest_start_ms + 1)
@@ -238,7 +244,7 @@
     fn push(&mut self, params: &SchedulingParams, sequence: u64, key: WaitingKey) {
         let flow = self.flows.entry(params.organisation).or_default();
         if flow.tasks == 0 {
-            self.resting.remove(&(flow.tag, params.organisation));
+            self.idle.remove(&(flow.tag, params.organisation));
             flow.tag = flow.tag.max(self.virtual_now);
             self.active.insert((flow.tag, params.organisation));
         }
@@ -246,12 +252,14 @@
         self.tasks += 1;
     }
 
-    /// First task of each kind of each organisation, in the order of service.
-    fn heads(&self) -> impl Iterator<Item = WaitingKey> {
-        self.active.iter().flat_map(|(_, organisation)| self.flows[organisation].heads())
+    /// Returns the first task of each kind of each organisation, in the order of
+    /// service.
+    fn first_tasks(&self) -> impl Iterator<Item = WaitingKey> {
+        self.active.iter().flat_map(|(_, organisation)| self.flows[organisation].first_tasks())
     }
 
-    /// Moves the virtual time to the task served, and its flow behind it.
+    /// Advances the virtual time to the served task, and the tag of its flow by the
+    /// cost.
     fn charge(&mut self, params: &SchedulingParams) {
         let Some(flow) = self.flows.get_mut(&params.organisation) else { return };
         let cost = u64::from(params.cost_ms.max(1)) * TAG_SCALE / u64::from(params.weight.max(1));
@@ -261,30 +269,30 @@
         self.active.insert((flow.tag, params.organisation));
     }
 
-    /// Counts a task that was taken out.
-    fn forget(&mut self, params: &SchedulingParams, sequence: u64) {
+    /// Removes a task from its flow.
+    fn remove(&mut self, params: &SchedulingParams, sequence: u64) {
         let Some(flow) = self.flows.get_mut(&params.organisation) else { return };
         flow.remove(params.kind, sequence);
         self.tasks -= 1;
         if flow.tasks == 0 {
             let place = (flow.tag, params.organisation);
             self.active.remove(&place);
-            self.resting.insert(place);
+            self.idle.insert(place);
         }
-        self.drop_rested();
+        self.drop_idle_flows();
     }
 
-    /// Forgets flows that rest at or behind the virtual time; all of them once
-    /// no task waits.
-    fn drop_rested(&mut self) {
-        if let (true, Some(&(tag, _))) = (self.active.is_empty(), self.resting.last()) {
+    /// Removes idle flows whose tag is not ahead of the virtual time. If no task
+    /// waits, the virtual time advances to the last tag, so that all are removed.
+    fn drop_idle_flows(&mut self) {
+        if let (true, Some(&(tag, _))) = (self.active.is_empty(), self.idle.last()) {
             self.virtual_now = self.virtual_now.max(tag);
         }
-        while let Some(&(tag, organisation)) = self.resting.first() {
+        while let Some(&(tag, organisation)) = self.idle.first() {
             if tag > self.virtual_now {
                 break;
             }
-            self.resting.pop_first();
+            self.idle.pop_first();
             self.flows.remove(&organisation);
         }
     }
@@ -293,24 +301,27 @@
 impl Flow {
     fn push(&mut self, kind: KindKey, sequence: u64, key: WaitingKey) {
         self.tasks += 1;
-        match self.lanes.iter_mut().find(|(it, _)| *it == kind) {
-            Some((_, lane)) => _ = lane.insert(sequence, key),
-            None => self.lanes.push((kind, BTreeMap::from([(sequence, key)]))),
+        match self.kind_queues.iter_mut().find(|(it, _)| *it == kind) {
+            Some((_, kind_queue)) => _ = kind_queue.insert(sequence, key),
+            None => self.kind_queues.push((kind, BTreeMap::from([(sequence, key)]))),
         }
     }
 
     fn remove(&mut self, kind: KindKey, sequence: u64) {
         self.tasks -= 1;
-        for (_, lane) in self.lanes.iter_mut().filter(|(it, _)| *it == kind) {
-            lane.remove(&sequence);
+        for (_, kind_queue) in self.kind_queues.iter_mut().filter(|(it, _)| *it == kind) {
+            kind_queue.remove(&sequence);
         }
-        self.lanes.retain(|(_, lane)| !lane.is_empty());
+        self.kind_queues.retain(|(_, kind_queue)| !kind_queue.is_empty());
     }
 
-    fn heads(&self) -> impl Iterator<Item = WaitingKey> {
-        let mut heads: Vec<_> =
-            self.lanes.iter().filter_map(|(_, lane)| lane.first_key_value()).collect();
-        heads.sort_unstable();
-        heads.into_iter().map(|(_, key)| *key)
+    fn first_tasks(&self) -> impl Iterator<Item = WaitingKey> {
+        let mut first_tasks: Vec<_> = self
+            .kind_queues
+            .iter()
+            .filter_map(|(_, kind_queue)| kind_queue.first_key_value())
+            .collect();
+        first_tasks.sort_unstable();
+        first_tasks.into_iter().map(|(_, key)| *key)
     }
 }
--- a/crates/decide/src/rendezvous.rs
+++ b/crates/decide/src/rendezvous.rs
@@ -1,14 +1,14 @@
-//! Rendezvous hashing: a weight for each pair of names. Who ranks others by it has an
-//! order of its own, which stays when a name comes or goes.
+//! Rendezvous hashing: a weight for each pair of names. Each name that ranks others by
+//! weight gets its own order, which does not change when a name is added or removed.
 
-/// The weight of a pair of names; the same in every process.
+/// Returns the weight of a pair of names; the same in every process.
 #[must_use]
-pub fn weight(who: &str, other: &str) -> u64 {
+pub fn weight(ranker: &str, candidate: &str) -> u64 {
     let mut hasher = blake3::Hasher::new();
-    hasher.update(who.as_bytes());
-    // Names have no such byte, so no two pairs look alike.
+    hasher.update(ranker.as_bytes());
+    // Names contain no zero byte, so different pairs have different input.
     hasher.update(&[0]);
-    hasher.update(other.as_bytes());
+    hasher.update(candidate.as_bytes());
     let mut bytes = [0; size_of::<u64>()];
     bytes.copy_from_slice(&hasher.finalize().as_bytes()[..size_of::<u64>()]);
     u64::from_le_bytes(bytes)
--- a/crates/decide/src/retry.rs
+++ b/crates/decide/src/retry.rs
@@ -1,11 +1,11 @@
-//! When to try again, and when to stop.
+//! Retries: backoff and retry budgets.
 //!
-//! Two cases differ. A task *proven not started* (refused by an agent, or never
-//! sent) may be placed elsewhere: that repeats a message, no work, and its
-//! backoff alone bounds it. A *repeatable request that failed* repeats work,
-//! which feeds an overload that made it fail; such retries are paid from a
-//! budget that successes earn. When everything fails nothing is earned, and the
-//! retries end with the budget: no storm.
+//! There are two cases. A task that was *provably not started* (refused by an agent,
+//! or never sent) may be placed elsewhere. This repeats a message but no work, so
+//! the backoff alone limits it. A *repeatable request that failed* repeats work,
+//! which adds to the overload that may have caused the failure. Such retries are
+//! paid from a budget that successes earn. If everything fails, nothing is earned
+//! and the retries end with the budget, which prevents a retry storm.
 
 use {
     rand::{Rng, RngCore},
@@ -13,73 +13,74 @@
     sycamorerail_wire::answer::Reason,
 };
 
-/// A retry costs as much as ten successes earn.
-const EARNED_A_SUCCESS: u32 = 1;
-const COST_A_RETRY: u32 = 10;
+/// Units that a success earns. A retry costs as much as ten successes earn.
+const EARNED_PER_SUCCESS: u32 = 1;
+/// Units that a retry or hedge costs.
+const COST_PER_RETRY: u32 = 10;
 
-/// Retries at most saved up.
+/// Maximum number of retries that a budget holds.
 pub const MAX_SAVED_RETRIES: u32 = 20;
 
-/// Longest pause before the first repetition, in milliseconds.
+/// Upper bound of the pause before the first repetition, in milliseconds.
 const FIRST_BACKOFF_MS: u64 = 4;
 
-/// Longest pause before any, in milliseconds.
+/// Upper bound of the pause before any repetition, in milliseconds.
 const MAX_BACKOFF_MS: u64 = 500;
 
-/// Retries that may be made, shared by all threads. One an organisation, so
-/// that the failures of one do not use up the retries of another.
+/// Retry budget, shared by all threads. Each organisation has its own, so that the
+/// failures of one do not use up the retries of another.
 #[derive(Debug)]
 pub struct RetryBudget {
     saved: AtomicU32,
 }
 
 impl Default for RetryBudget {
-    /// A full budget.
+    /// Creates a full budget.
     fn default() -> Self {
-        Self { saved: AtomicU32::new(MAX_SAVED_RETRIES * COST_A_RETRY) }
+        Self { saved: AtomicU32::new(MAX_SAVED_RETRIES * COST_PER_RETRY) }
     }
 }
 
 impl RetryBudget {
-    /// Counts a request that succeeded.
+    /// Adds what a successful request earns.
     pub fn earn(&self) {
-        let more =
-            |saved: u32| Some((saved + EARNED_A_SUCCESS).min(MAX_SAVED_RETRIES * COST_A_RETRY));
-        _ = self.saved.fetch_update(Ordering::AcqRel, Ordering::Acquire, more);
+        let increase =
+            |saved: u32| Some((saved + EARNED_PER_SUCCESS).min(MAX_SAVED_RETRIES * COST_PER_RETRY));
+        _ = self.saved.fetch_update(Ordering::AcqRel, Ordering::Acquire, increase);
     }
 
-    /// Takes a retry or a hedge out of the budget, if there is one.
+    /// Charges the budget for a retry or hedge. Returns `false` if it does not suffice.
     #[must_use]
     pub fn spend(&self) -> bool {
-        let less = |saved: u32| saved.checked_sub(COST_A_RETRY);
-        self.saved.fetch_update(Ordering::AcqRel, Ordering::Acquire, less).is_ok()
+        let decrease = |saved: u32| saved.checked_sub(COST_PER_RETRY);
+        self.saved.fetch_update(Ordering::AcqRel, Ordering::Acquire, decrease).is_ok()
     }
 }
 
 /// A failed attempt at a request.
 #[derive(Clone, Copy, Debug)]
 pub struct FailedAttempt {
-    /// Its kind may run more than once.
+    /// Whether its kind may run more than once.
     pub repeatable: bool,
-    /// Attempts made, this one included.
+    /// Number of attempts so far, including this one.
     pub attempts: u8,
-    /// Most attempts that the kind allows.
+    /// Maximum number of attempts that the kind allows.
     pub max_attempts: u8,
     /// Time left until the deadline, in milliseconds.
     pub left_ms: u64,
-    /// Run time that an attempt takes at least, in milliseconds.
+    /// Shortest expected run time of an attempt, in milliseconds.
     pub least_run_ms: u64,
-    /// Why it failed.
+    /// Reason of the failure.
     pub reason: Reason,
 }
 
-/// Decides on another attempt: the pause before it in milliseconds, which it
-/// has paid for from the budget.
+/// Decides whether a failed request is retried. Returns the pause before the retry, in
+/// milliseconds, and charges the budget for it.
 ///
 /// # Errors
 ///
-/// Why there is none: the attempt's own reason if the kind allows no more,
-/// `DeadlinePassed`, or `RetryBudget`.
+/// The reason of the failure if the kind allows no further attempt, `DeadlinePassed` if
+/// a retry cannot end in time, `RetryBudget` if the budget is used up.
 pub fn retry_after_ms(
     failed: &FailedAttempt,
     budget: &RetryBudget,
@@ -98,13 +99,13 @@
     Ok(pause_ms)
 }
 
-/// Pause before a repetition, in milliseconds: random below a bound that
-/// doubles with each one, and not before the time that the peer told.
+/// Returns the pause before a repetition, in milliseconds: `min_ms`, which the peer may
+/// have requested, plus a random time up to a bound that doubles with each repetition.
 ///
-/// The whole of it is random ("full jitter"): callers refused together must not
-/// come back together.
-pub fn backoff_ms(repetitions: u8, told_ms: u64, rng: &mut dyn RngCore) -> u64 {
+/// The whole backoff is random ("full jitter"), so that callers that were refused
+/// together do not retry together.
+pub fn backoff_ms(repetitions: u8, min_ms: u64, rng: &mut dyn RngCore) -> u64 {
     let doublings = u32::from(repetitions.saturating_sub(1)).min(16);
     let bound_ms = (FIRST_BACKOFF_MS << doublings).min(MAX_BACKOFF_MS);
-    told_ms + rng.random_range(1..=bound_ms)
+    min_ms + rng.random_range(1..=bound_ms)
 }
--- a/crates/decide/tests/admission.rs
+++ b/crates/decide/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Admission: each reason for a refusal, and when to come back.
+//! Admission: each reason for a refusal, and its retry delay.
 
 use {
     proptest::{collection::vec, prelude::*, test_runner::RngSeed},
@@ -62,13 +62,13 @@
     QuotaPart { starts_per_s, burst, max_in_flight }
 }
 
-fn roomy() -> OrganisationLimit {
+fn large_limit() -> OrganisationLimit {
     OrganisationLimit::new(part(1e6, 1e6, 1_000_000))
 }
 
-fn ask_admission(request: &AdmissionRequest<'_>, view: &View) -> Result<(), Refusal> {
+fn admit_request(request: &AdmissionRequest<'_>, view: &View) -> Result<(), Refusal> {
     let forecast = Forecast::new(view, &request.query, None, 1, NOW_MS);
-    admit(request, &roomy(), view, &forecast, NOW_MS)
+    admit(request, &large_limit(), view, &forecast, NOW_MS)
 }
 
 fn refused(reason: Reason, retry_after_ms: u64) -> Result<(), Refusal> {
@@ -83,8 +83,8 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// Over any run of calls no more starts are taken than the burst, the rate
-    /// and one job; and after the time told the same call is taken.
+    /// No sequence of calls admits more starts than the burst, the rate and one job
+    /// permit. After the retry delay, the same call is admitted.
     #[test]
     fn rate_bound(
         rate in 1u32..5_000, burst in 1u32..300, calls in vec((0u64..40, 1u16..=170), 1..200),
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Jobs no larger than the burst are taken within the burst and the rate.
+    /// Jobs no larger than the burst never exceed the burst and the rate.
     #[test]
     fn burst_bound(burst in 170u32..300, calls in vec((0u64..40, 1u16..=170), 1..200)) {
         let limit = OrganisationLimit::new(part(100.0, burst.into(), u32::MAX));
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Tasks in flight stay within the part, or are one job alone.
+    /// Tasks in flight stay within the part, or belong to a single job.
     #[test]
     fn in_flight_bound(most in 1u32..300, calls in vec((any::<bool>(), 1u16..=170), 1..100)) {
         let limit = OrganisationLimit::new(part(1e6, 1e6, most));
@@ -139,8 +139,8 @@
         }
     }
 
-    /// What is taken can end in time by the forecast and a quarter more of the
-    /// wait, or starts at once.
+    /// An admitted submission can end in time if the wait is a quarter longer than
+    /// forecast, or it starts at once.
     #[test]
     fn deadline_kept(
         running in 0u32..8, tasks in 1u16..=170, deadline_ms in 1u32..3_000,
@@ -152,7 +152,7 @@
         let forecast = Forecast::new(&view, &request.query, None, 1, NOW_MS);
         let wait_ms = forecast.wait_ms(class_tasks, tasks.into());
         let meets = wait_ms + wait_ms / 4 + u64::from(least_run_ms) <= deadline_ms.into();
-        match ask_admission(&request, &view) {
+        match admit_request(&request, &view) {
             Ok(()) => prop_assert!(meets || wait_ms == 0),
             Err(refusal) => {
                 prop_assert_eq!(refusal.reason, Reason::DeadlineUnreachable);
@@ -179,32 +179,32 @@
     let mut too_large = request();
     too_large.query.size_bytes = 2_000;
     let refusal = Refusal { reason: Reason::NeverPlaceable, retry_after_ms: None };
-    assert_eq!(ask_admission(&too_large, &view(&[1], 0)), Err(refusal));
+    assert_eq!(admit_request(&too_large, &view(&[1], 0)), Err(refusal));
     let mut avoiding = request();
     avoiding.query.spread = Spread::Avoid;
     avoiding.query.avoid = &[DataCentreKey(0)];
-    assert_eq!(ask_admission(&avoiding, &view(&[1], 0)), Err(refusal));
-    assert_eq!(ask_admission(&avoiding, &view(&[1, 1], 0)), Ok(()));
+    assert_eq!(admit_request(&avoiding, &view(&[1], 0)), Err(refusal));
+    assert_eq!(admit_request(&avoiding, &view(&[1, 1], 0)), Ok(()));
 }
 
 #[test]
 fn no_upstream() {
     let none = refused(Reason::NoUpstream, 1_000);
-    assert_eq!(ask_admission(&request(), &View::default()), none);
+    assert_eq!(admit_request(&request(), &View::default()), none);
     let view = view(&[1], 0);
     view.rows[0].live.leaving.store(true, Relaxed);
-    assert_eq!(ask_admission(&request(), &view), none);
+    assert_eq!(admit_request(&request(), &view), none);
 }
 
 #[test]
-fn evacuated_counts_for_nothing() {
+fn evacuated_upstreams_have_no_capacity() {
     let view = view(&[1, 1], 0);
     view.rows[0].live.evacuated.store(true, Relaxed);
-    assert_eq!(ask_admission(&request(), &view), Ok(()));
+    assert_eq!(admit_request(&request(), &view), Ok(()));
     let forecast = Forecast::new(&view, &request().query, None, 1, NOW_MS);
     assert_eq!(forecast.free_slots, 1);
     view.rows[1].live.ejected_until_ms.store(NOW_MS + 1, Relaxed);
-    assert_eq!(ask_admission(&request(), &view), refused(Reason::NoUpstream, 1_000));
+    assert_eq!(admit_request(&request(), &view), refused(Reason::NoUpstream, 1_000));
 }
 
 #[test]
@@ -212,39 +212,39 @@
     let view = view(&[1, 1], 0);
     view.rows[0].live.evacuated.store(true, Relaxed);
     view.rows[1].live.evacuated.store(true, Relaxed);
-    assert_eq!(ask_admission(&request(), &view), refused(Reason::Evacuated, 2_000));
+    assert_eq!(admit_request(&request(), &view), refused(Reason::Evacuated, 2_000));
     view.rows[1].live.leaving.store(true, Relaxed);
-    assert_eq!(ask_admission(&request(), &view), refused(Reason::Evacuated, 2_000));
+    assert_eq!(admit_request(&request(), &view), refused(Reason::Evacuated, 2_000));
     view.rows[0].live.leaving.store(true, Relaxed);
-    assert_eq!(ask_admission(&request(), &view), refused(Reason::NoUpstream, 1_000));
+    assert_eq!(admit_request(&request(), &view), refused(Reason::NoUpstream, 1_000));
 }
 
 #[test]
 fn full_queue() {
     let job = AdmissionRequest { tasks: 100, queue_room: 50, ..request() };
-    // 20 slots, 200 starts a second: the 30 tasks too many need 150 ms.
+    // 20 slots, 200 starts per second: the 30 excess tasks need 150 ms.
     let view = view(&[10, 10], 0);
-    assert_eq!(ask_admission(&job, &view), refused(Reason::Overloaded, 150));
-    assert_eq!(ask_admission(&AdmissionRequest { tasks: 70, ..job }, &view), Ok(()));
+    assert_eq!(admit_request(&job, &view), refused(Reason::Overloaded, 150));
+    assert_eq!(admit_request(&AdmissionRequest { tasks: 70, ..job }, &view), Ok(()));
 }
 
 #[test]
 fn late_by_wait() {
-    // No slot free; 150 tasks before it at 100 starts a second.
+    // No free slot; 150 tasks ahead at 100 starts per second.
     let backlog = Backlog { class_tasks: 149, own_tasks: 149, organisations: 1, more_urgent: 0 };
     let late = AdmissionRequest { backlog, ..request() };
     let view = view(&[10], 10);
-    // 1,500 ms, a quarter more, and the run: 975 ms late. In 780 ms the forecast
-    // is 720 ms.
-    assert_eq!(ask_admission(&late, &view), refused(Reason::DeadlineUnreachable, 780));
+    // A wait of 1,500 ms, a quarter more, and the run time: 975 ms late. After 780 ms
+    // the forecast is 720 ms.
+    assert_eq!(admit_request(&late, &view), refused(Reason::DeadlineUnreachable, 780));
     let quiet = Backlog { own_tasks: 0, organisations: 2, ..backlog };
-    assert_eq!(ask_admission(&AdmissionRequest { backlog: quiet, ..late }, &view), Ok(()));
+    assert_eq!(admit_request(&AdmissionRequest { backlog: quiet, ..late }, &view), Ok(()));
 }
 
 #[test]
 fn slow_but_free() {
     let slow = AdmissionRequest { least_run_ms: 5_000, ..request() };
-    assert_eq!(ask_admission(&slow, &view(&[10], 0)), Ok(()));
+    assert_eq!(admit_request(&slow, &view(&[10], 0)), Ok(()));
 }
 
 #[test]
@@ -261,7 +261,7 @@
 }
 
 #[test]
-fn closed_quota() {
+fn zero_quota() {
     for closed in [part(0.0, 10.0, 10), part(10.0, 10.0, 0)] {
         assert!(OrganisationLimit::new(closed).take(1, NOW_MS).is_err());
     }
--- a/crates/decide/tests/ejection.rs
+++ b/crates/decide/tests/ejection.rs
@@ -1,4 +1,4 @@
-//! Ejection: by peers, of a bounded share, and the way back.
+//! Ejection: comparison with peers, the bound on ejected upstreams, and the return.
 
 use {
     proptest::{collection::vec, prelude::*, test_runner::RngSeed},
@@ -20,8 +20,8 @@
     ejections
 }
 
-/// Every upstream but the bad ones has succeeded; those fail until ejected.
-/// Returns failures until then.
+/// Records a success at every upstream except the bad one, then failures at the bad
+/// one until it is ejected. Returns the number of failures.
 fn eject(ejections: &mut Ejections, upstreams: u32, now_ms: u64) -> u32 {
     for key in 1..upstreams {
         ejections.observe(UpstreamKey(key), KIND, true, now_ms);
@@ -70,7 +70,7 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// Whatever happens, no more than the bounded share is out.
+    /// No sequence of events ejects more upstreams than [`max_ejected`].
     #[test]
     fn bounded_share(
         (upstreams, steps) in (1u32..14).prop_flat_map(|it| (Just(it), vec(step(it), 1..400)))
@@ -80,7 +80,7 @@
         for step in steps {
             match step {
                 Step::End { key, kind, succeeded } => {
-                    // The lower half fails more.
+                    // Upstreams of the upper half never fail.
                     let succeeded = succeeded || key * 2 > upstreams;
                     ejections.observe(UpstreamKey(key), KindKey(kind), succeeded, now_ms);
                 }
@@ -101,8 +101,8 @@
         }
     }
 
-    /// A kind that fails everywhere ejects nobody, in whatever order it ends;
-    /// nor does it excuse an upstream that fails another kind as well.
+    /// A kind that fails everywhere ejects no upstream, in whatever order its tasks
+    /// end. It does not excuse an upstream that fails another kind as well.
     #[test]
     fn failing_kind(ends in vec(0u32..10, 200..600)) {
         let mut ejections = fleet(10);
@@ -116,7 +116,7 @@
         prop_assert!(ejected);
     }
 
-    /// Upstreams that fail alike by chance stay.
+    /// Upstreams with equal failure probability are not ejected.
     #[test]
     fn even_chance(ends in vec((0u32..10, any::<bool>()), 100..1_000)) {
         let mut ejections = fleet(10);
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn draws_work() {
+fn failing_upstream_with_most_work() {
     let mut ejections = fleet(10);
     let failures = eject(&mut ejections, 10, 1_000);
     assert!(failures <= 5, "{failures}");
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn only_server() {
+fn only_upstream_of_a_kind() {
     let mut ejections = fleet(10);
     for key in 1..10 {
         ejections.observe(UpstreamKey(key), KindKey(2), true, 0);
@@ -219,7 +219,7 @@
 }
 
 #[test]
-fn seen_by_placement() {
+fn published_to_placement() {
     let live = std::sync::Arc::new(LiveState::default());
     let row = UpstreamRow {
         key: BAD,
--- a/crates/decide/tests/estimate.rs
+++ b/crates/decide/tests/estimate.rs
@@ -1,4 +1,4 @@
-//! Estimates: wrong declarations corrected, stragglers borne, percentiles.
+//! Estimates: correction of wrong declarations, effect of stragglers, percentiles.
 
 use {
     proptest::{collection::vec, prelude::*, test_runner::RngSeed},
@@ -34,8 +34,8 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// A declaration wrong by up to ten times either way is corrected to within
-    /// a quarter of the mean by 20 observations, here and for other upstreams.
+    /// A declaration that is wrong by up to a factor of ten is corrected to within a
+    /// quarter of the mean by 20 observations, for this and for other upstreams.
     #[test]
     fn wrong_declaration(
         declared_ms in 5u32..50_000, runs in vec(0.5f64..1.5, 20), wrong in -1.0f64..1.0,
@@ -52,14 +52,14 @@
 
     /// One straggler, however slow, moves the estimate by less than half.
     #[test]
-    fn lone_straggler(before in 20usize..200, straggler_us in 1_000_000u64..100_000_000_000) {
+    fn single_straggler(before in 20usize..200, straggler_us in 1_000_000u64..100_000_000_000) {
         let mut estimates = declared(100);
         observe(&mut estimates, &vec![100_000; before]);
         observe(&mut estimates, &[straggler_us]);
         prop_assert!(estimates.run_us(KIND, HERE) < 150_000.0);
     }
 
-    /// A percentile lies within a bucket of the sorted observations' own.
+    /// A percentile is within one bucket of the exact percentile of the observations.
     #[test]
     fn percentile_error(runs in vec(1.0f64..1e9, 1..300), percent in 1u8..100) {
         let mut histogram = Histogram::default();
--- a/crates/decide/tests/gate.rs
+++ b/crates/decide/tests/gate.rs
@@ -1,4 +1,4 @@
-//! Start gate: one feature after the other.
+//! Start gate: examples of each rule.
 
 use {
     sycamorerail_decide::gate::{
@@ -187,7 +187,7 @@
 }
 
 #[test]
-fn fence_tells() {
+fn fence_reports_held_jobs() {
     let mut gate = gate(1);
     start(&mut gate, 1);
     gate.place(placement(2), 0);
@@ -226,7 +226,7 @@
 }
 
 #[test]
-fn other_run() {
+fn other_run_of_agent() {
     let mut gate = gate(1);
     let earlier = Placement { agent: Incarnation(9), ..placement(1) };
     assert_eq!(refused(gate.place(earlier, 0)), (Reason::WrongIncarnation, false));
@@ -253,7 +253,7 @@
     let dropped = gate.set_evacuated(true);
     assert_eq!(not_started(dropped[0].reply.clone()), (Reason::Evacuated, false));
     assert_eq!(refused(gate.place(placement(3), 0)), (Reason::Evacuated, false));
-    assert!(gate.record_end(task(1), finished("1"), 1, 1).is_some(), "what runs goes on");
+    assert!(gate.record_end(task(1), finished("1"), 1, 1).is_some(), "running tasks continue");
     assert_eq!(gate.take_next(1, &mut Vec::new()), None);
     assert!(gate.set_evacuated(true).is_empty());
     gate.set_evacuated(false);
@@ -313,7 +313,8 @@
     assert_eq!(reported, [task(7), task(8), task(1)]);
 }
 
-/// The payload of a queued task makes room for the tombstone of another.
+/// Revoking a queued task frees its payload, which makes room for the tombstone of
+/// another task in the same revoke.
 #[test]
 fn revoke_frees_first() {
     let limits = Limits { record_bytes: 3 * RECORD_COST_BYTES + 1, ..LIMITS };
--- a/crates/decide/tests/gate_machine.rs
+++ b/crates/decide/tests/gate_machine.rs
@@ -1,5 +1,6 @@
 //! Start gate as a state machine: messages are reordered, duplicated, lost and
-//! late, and what the gate says is held against what the upstream saw.
+//! delayed, and the replies of the gate are compared with the calls that the upstream
+//! received.
 
 use {
     proptest::{collection::vec, prelude::*, sample::Index},
@@ -18,11 +19,11 @@
 const HOMES: u64 = 2;
 const JOBS: u64 = 12;
 const TASKS: u16 = 2;
-/// A job of each home is minted this often.
+/// Interval at which each home creates a job id, in milliseconds.
 const MINT_EVERY_MS: u64 = 500;
-/// An id is refused as expired after this; its home forgets it.
+/// Age at which an id is refused as expired and its home forgets it.
 const ID_LIFE_MS: u64 = 1_500;
-/// A message that is not delivered by then never is: its connection has ended.
+/// Age at which a message is lost because its connection has ended.
 const MOST_LATE_MS: u64 = 1_500;
 const LIMITS: Limits = Limits {
     retention_ms: ID_LIFE_MS + MOST_LATE_MS,
@@ -99,23 +100,23 @@
     jobs.flat_map(|job| (0..TASKS).map(move |index| TaskId { job, index, attempt: 0 })).collect()
 }
 
-/// What the homes, the network and the upstream know.
+/// State of the homes, the network and the upstream.
 struct World {
     gate: Gate,
     now_ms: u64,
     draining: bool,
     evacuated: bool,
     tasks: Vec<TaskId>,
-    /// On their way, with the time of sending.
+    /// Messages in flight, with the time of sending.
     sent: Vec<(u64, Message)>,
-    /// Told to start, with whether the upstream was called.
+    /// Tasks that the gate started, with whether the upstream was called.
     running: Vec<(TaskId, bool)>,
-    /// Placed and not told yet.
+    /// Tasks that are placed and have no reply yet.
     waited_for: HashSet<TaskId>,
     revoked_by_home: HashSet<TaskId>,
-    /// Calls that reached the upstream, ever.
+    /// All tasks for which the upstream was called.
     started: HashSet<TaskId>,
-    /// The gate said that these never start.
+    /// Tasks that, according to the gate, never start.
     never: HashSet<TaskId>,
     ends: HashMap<TaskId, TaskEnd>,
 }
@@ -163,31 +164,31 @@
             Op::Deliver(which) => self.deliver(which),
             Op::Duplicate(which) => self.sent.push(which.get(&self.sent).clone()),
             Op::Lose(which) => drop(self.sent.swap_remove(which.index(self.sent.len()))),
-            Op::CallPermit(which) => self.go(which),
+            Op::CallPermit(which) => self.call(which),
             Op::End(which) => self.end(which),
             Op::Break(which) => self.break_off(which),
             Op::Unreachable(which) => self.unreachable(which),
             Op::Upstream(state) => {
                 let settled = self.gate.set_upstream(state);
-                self.hear_all(settled);
+                self.receive_all(settled);
             }
             Op::Evacuated(evacuated) => {
                 self.evacuated = evacuated;
                 let settled = self.gate.set_evacuated(evacuated);
-                self.hear_all(settled);
+                self.receive_all(settled);
             }
             Op::Wait { ms } => self.wait(ms),
             Op::Drain => {
                 self.draining = true;
                 let settled = self.gate.drain();
-                self.hear_all(settled);
+                self.receive_all(settled);
             }
         }
         self.take_next();
         self.check_bounds();
     }
 
-    /// Tasks of ids that are minted and not expired.
+    /// Returns the tasks whose ids are created and not expired.
     fn live_tasks(&self) -> Vec<TaskId> {
         let lives = |task: &TaskId| {
             let minted_ms = task.job.minted_unix_ms;
@@ -230,11 +231,11 @@
                 for task in &revoked.aborted {
                     assert!(self.started.contains(task), "aborted a call never made");
                 }
-                self.hear_all(revoked.settled);
+                self.receive_all(revoked.settled);
                 let full =
                     self.gate.counts().record_bytes + RECORD_COST_BYTES > LIMITS.record_bytes;
                 assert!(full || revoked.reports.len() == tasks.len(), "a task without a report");
-                revoked.reports.into_iter().for_each(|report| self.hear_report(report));
+                revoked.reports.into_iter().for_each(|report| self.receive_report(report));
             }
             Message::Fence(home, jobs) => self.fence(home, &jobs),
         }
@@ -253,25 +254,25 @@
                 assert!(self.waited_for.insert(task));
             }
             PlacementDecision::Joined => assert!(self.waited_for.contains(&task)),
-            PlacementDecision::Settled(reply) => self.hear(task, reply),
-            PlacementDecision::Refused(refusal) => self.hear(task, refusal.reply()),
+            PlacementDecision::Settled(reply) => self.receive(task, reply),
+            PlacementDecision::Refused(refusal) => self.receive(task, refusal.reply()),
         }
     }
 
     fn fence(&mut self, home: Incarnation, jobs: &[JobId]) {
         let fenced = self.gate.fence(home, jobs);
-        self.hear_all(fenced.settled);
+        self.receive_all(fenced.settled);
         let reports = fenced.jobs.into_iter().flat_map(|job| job.tasks);
         let mut unlisted: HashSet<TaskId> =
             self.tasks.iter().copied().filter(|task| jobs.contains(&task.job)).collect();
         for report in reports {
             unlisted.remove(&report.task);
-            self.hear_report(report);
+            self.receive_report(report);
         }
-        unlisted.into_iter().for_each(|task| self.hear_never(task));
+        unlisted.into_iter().for_each(|task| self.receive_never(task));
     }
 
-    fn go(&mut self, which: Index) {
+    fn call(&mut self, which: Index) {
         let waiting: Vec<usize> =
             (0..self.running.len()).filter(|&at| !self.running[at].1).collect();
         if waiting.is_empty() {
@@ -302,33 +303,33 @@
         if let Some(task) = self.called(which) {
             let end = TaskEnd::Finished(Payload(format!("{:08}", self.now_ms)));
             let settled = self.gate.record_end(task, end, 1_000, self.now_ms);
-            self.hear_all(settled.into_iter().collect());
+            self.receive_all(settled.into_iter().collect());
         }
     }
 
     fn break_off(&mut self, which: Index) {
         if let Some(task) = self.called(which) {
             let settled = self.gate.record_broken(task, Reason::UpstreamBroken, self.now_ms);
-            self.hear_all(settled.into_iter().collect());
+            self.receive_all(settled.into_iter().collect());
         }
     }
 
-    /// The upstream refused the connection: it did not see the task.
+    /// The upstream refuses the connection and does not receive the task.
     fn unreachable(&mut self, which: Index) {
         if let Some(task) = self.called(which) {
             let settled = self.gate.record_not_started(task, Reason::UpstreamUnreachable);
-            // A revoke that came first has said already that it failed.
+            // An earlier revoke has already reported that the task failed.
             if settled.is_some() {
                 self.started.remove(&task);
             }
-            self.hear_all(settled.into_iter().collect());
+            self.receive_all(settled.into_iter().collect());
         }
     }
 
     fn wait(&mut self, ms: u64) {
         self.now_ms += ms;
         let settled = self.gate.expire(self.now_ms);
-        self.hear_all(settled);
+        self.receive_all(settled);
     }
 
     fn take_next(&mut self) {
@@ -338,30 +339,30 @@
             assert!(!self.evacuated, "started from the queue while evacuated");
             self.running.push((start.placement.task, false));
         }
-        self.hear_all(settled);
+        self.receive_all(settled);
     }
 
-    fn hear_all(&mut self, settled: Vec<SettledTask>) {
+    fn receive_all(&mut self, settled: Vec<SettledTask>) {
         for SettledTask { task, reply } in settled {
             assert!(self.waited_for.remove(&task), "{task} told twice");
-            self.hear(task, reply);
+            self.receive(task, reply);
         }
     }
 
-    fn hear(&mut self, task: TaskId, reply: AgentReplyBody) {
+    fn receive(&mut self, task: TaskId, reply: AgentReplyBody) {
         match reply {
-            AgentReplyBody::Ended { end, .. } => self.hear_end(task, end),
+            AgentReplyBody::Ended { end, .. } => self.receive_end(task, end),
             AgentReplyBody::Broken(_) => assert!(self.started.contains(&task)),
-            AgentReplyBody::NotStarted { never: true, .. } => self.hear_never(task),
-            AgentReplyBody::NotStarted { .. } => self.hear_not_started(task),
+            AgentReplyBody::NotStarted { never: true, .. } => self.receive_never(task),
+            AgentReplyBody::NotStarted { .. } => self.receive_not_started(task),
             other => panic!("{other:?}"),
         }
     }
 
-    fn hear_report(&mut self, report: TaskReport) {
+    fn receive_report(&mut self, report: TaskReport) {
         match report.record {
-            TaskRecord::NeverStarted => self.hear_never(report.task),
-            TaskRecord::Ended(end) => self.hear_end(report.task, end),
+            TaskRecord::NeverStarted => self.receive_never(report.task),
+            TaskRecord::Ended(end) => self.receive_end(report.task, end),
             TaskRecord::Running => assert!(self.waited_for.contains(&report.task)),
             TaskRecord::EndDropped | TaskRecord::Broken(_) => {
                 assert!(self.started.contains(&report.task));
@@ -369,18 +370,18 @@
         }
     }
 
-    fn hear_end(&mut self, task: TaskId, end: TaskEnd) {
+    fn receive_end(&mut self, task: TaskId, end: TaskEnd) {
         assert!(self.started.contains(&task));
         let before = self.ends.entry(task).or_insert_with(|| end.clone());
         assert_eq!(*before, end, "{task} ended in two ways");
     }
 
-    fn hear_not_started(&mut self, task: TaskId) {
+    fn receive_not_started(&mut self, task: TaskId) {
         assert!(!self.started.contains(&task), "{task} said not started, but was");
     }
 
-    fn hear_never(&mut self, task: TaskId) {
-        self.hear_not_started(task);
+    fn receive_never(&mut self, task: TaskId) {
+        self.receive_not_started(task);
         self.never.insert(task);
     }
 
@@ -397,7 +398,7 @@
     #![proptest_config(ProptestConfig { cases: 2_000, ..ProptestConfig::default() })]
 
     #[test]
-    fn gate_holds(ops in vec(op(), 1..250)) {
+    fn gate_keeps_its_promises(ops in vec(op(), 1..250)) {
         let mut world = World::new();
         ops.into_iter().for_each(|op| world.apply(op));
     }
--- a/crates/decide/tests/links.rs
+++ b/crates/decide/tests/links.rs
@@ -1,4 +1,4 @@
-//! Which entries an agent links to, how many, and what it does when some are lost.
+//! Choice of the entries that an agent links to: their number, and failed entries.
 
 use {
     proptest::prelude::*,
@@ -12,8 +12,8 @@
 const LIMITS: LinkLimits = LinkLimits { entries_per_agent: 5, agents_per_entry: 24 };
 const NOW_MS: u64 = 100_000;
 
-/// A link that has worked for long.
-fn works() -> LinkState {
+/// A stable link.
+fn stable() -> LinkState {
     LinkState { is_kept: true, connected_since_ms: Some(0), failing_since_ms: None }
 }
 
@@ -26,22 +26,22 @@
 }
 
 #[test]
-fn small_sites_have_every_link() {
+fn small_deployments_have_every_link() {
     assert_eq!(links_per_agent(4, 11, &LIMITS), 4);
     assert_eq!(links_per_agent(3, 500, &LIMITS), 3);
     assert_eq!(links_per_agent(55, 20, &LIMITS), 55);
 }
 
 #[test]
-fn large_sites_have_few() {
+fn large_deployments_have_few_links() {
     assert_eq!(links_per_agent(12, 68, &LIMITS), 5);
     assert_eq!(links_per_agent(55, 240, &LIMITS), 6);
     assert_eq!(links_per_agent(70, 1_100, &LIMITS), 5);
 }
 
-/// Each agent learns from its entries alone, and all come to the same number.
+/// Each agent uses only the counts of its own entries, and reaches the same number.
 #[test]
-fn the_number_is_found_from_what_entries_tell() {
+fn number_follows_from_reported_agents() {
     for (entries, agents) in [(4, 11), (12, 68), (55, 240), (55, 20), (70, 1_100), (100, 2_000)] {
         let mut wanted = 0;
         for _ in 0..10 {
@@ -55,43 +55,43 @@
 }
 
 #[test]
-fn low_counts_at_a_start_double_it_at_most() {
+fn low_counts_at_start_at_most_double_the_number() {
     assert_eq!(next_link_count(5, 55, &[1; 5], &LIMITS), 10);
 }
 
 #[test]
 fn a_restarting_entry_is_waited_for() {
-    let ranked = numbered(&[works(), lost(500), works(), LinkState::default()]);
+    let ranked = numbered(&[stable(), lost(500), stable(), LinkState::default()]);
     assert_eq!(select_links(&ranked, 3, NOW_MS), LinkChoice::default());
 }
 
 #[test]
-fn a_lost_entry_is_replaced_and_dialled_on() {
-    let ranked = numbered(&[works(), lost(1_500), works(), LinkState::default()]);
+fn a_lost_entry_is_replaced_and_still_dialled() {
+    let ranked = numbered(&[stable(), lost(1_500), stable(), LinkState::default()]);
     assert_eq!(select_links(&ranked, 3, NOW_MS), LinkChoice { dial: vec![3], end: Vec::new() });
 }
 
 #[test]
-fn the_replacement_goes_when_the_lost_one_has_worked_again() {
-    let back = |for_ms| LinkState { connected_since_ms: Some(NOW_MS - for_ms), ..works() };
-    let ranked = numbered(&[works(), back(500), works(), works()]);
+fn the_replacement_is_closed_once_the_lost_entry_is_stable_again() {
+    let back = |for_ms| LinkState { connected_since_ms: Some(NOW_MS - for_ms), ..stable() };
+    let ranked = numbered(&[stable(), back(500), stable(), stable()]);
     assert_eq!(select_links(&ranked, 3, NOW_MS).end, Vec::<usize>::new());
-    let ranked = numbered(&[works(), back(2_500), works(), works()]);
+    let ranked = numbered(&[stable(), back(2_500), stable(), stable()]);
     assert_eq!(select_links(&ranked, 3, NOW_MS).end, [3]);
 }
 
 #[test]
 fn with_all_lost_not_all_are_dialled() {
     let ranked = numbered(&[lost(9_000); 55]);
-    let asleep: Vec<_> = ranked
+    let ranked_lost: Vec<_> = ranked
         .iter()
         .map(|(entry, state)| (*entry, LinkState { is_kept: *entry < 6, ..*state }))
         .collect();
-    assert_eq!(select_links(&asleep, 6, NOW_MS).dial, (6..12).collect::<Vec<_>>());
+    assert_eq!(select_links(&ranked_lost, 6, NOW_MS).dial, (6..12).collect::<Vec<_>>());
 }
 
 proptest! {
-    /// An entry that goes takes its own links only; those of others stay.
+    /// Removing an entry changes only the links to it; other links stay.
     #[test]
     fn few_links_move(entries in 8_usize..60, agent in 0_u32..1_000, gone in 0_usize..60) {
         let all: Vec<_> = (0..entries).collect();
@@ -105,7 +105,7 @@
         prop_assert_eq!(moved, usize::from(before.contains(&gone)));
     }
 
-    /// Whatever entries tell, an agent has some links and not more than there are entries.
+    /// For any reported counts, an agent has at least one link and at most one per entry.
     #[test]
     fn the_number_is_bounded(
         wanted in 0_usize..200,
@@ -117,10 +117,10 @@
         prop_assert!(next <= entries.max(1));
     }
 
-    /// Nothing is let go while fewer links than wanted have worked for a while, and what is
-    /// dialled is not let go.
+    /// No link is closed while fewer links than wanted are stable, and no entry is both
+    /// dialled and closed.
     #[test]
-    fn no_agent_is_left_alone(
+    fn no_agent_loses_its_links(
         states in prop::collection::vec((any::<bool>(), 0_u64..3, 0_u64..5_000), 1..40),
         wanted in 1_usize..10,
     ) {
--- a/crates/decide/tests/placement.rs
+++ b/crates/decide/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Placement: what no policy may choose, the spread, and each policy's own rule.
+//! Placement: the rules common to all policies, the spread, and each policy.
 
 use {
     proptest::{collection::vec, prelude::*, test_runner::RngSeed},
@@ -69,7 +69,7 @@
     View { rows: upstreams.iter().enumerate().map(|(index, it)| row(index, it)).collect() }
 }
 
-/// An idle fleet: data centres of racks of upstreams.
+/// Returns an idle fleet, given the number of upstreams per rack and data centre.
 fn idle(racks_by_data_centre: &[Vec<u16>], slots: u32) -> View {
     let mut rows = vec![];
     let mut rack = 0;
@@ -137,8 +137,8 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// Each choice has room and is allowed; `Wait` only if none has room,
-    /// `Never` only if none could ever hold the task.
+    /// Each chosen upstream has room and is allowed. `Wait` is chosen only if none has
+    /// room, `Never` only if none could ever run the task.
     #[test]
     fn allowed_only(
         upstreams in vec(upstream(), 0..24), name in names(), spread in spreads(),
@@ -165,7 +165,7 @@
         }
     }
 
-    /// Late binding never counts on more than the free slots known.
+    /// Late binding chooses only upstreams with a known free slot.
     #[test]
     fn late_binding(upstreams in vec(upstream(), 1..24), seed: u64) {
         let view = view(&upstreams);
@@ -181,7 +181,7 @@
         prop_assert_eq!(placed, free);
     }
 
-    /// The least expected wait of all, while there are few.
+    /// In a small fleet, the chosen upstream has the least expected wait of all.
     #[test]
     fn least_wait(upstreams in vec(upstream(), 1..24), seed: u64) {
         let view = view(&upstreams);
@@ -194,8 +194,8 @@
         }
     }
 
-    /// Of a job placed task by task, no data centre and no rack holds more than
-    /// its bound at any point, and no task is held back.
+    /// While a job is placed task by task, no data centre and no rack exceeds its bound
+    /// at any point, and every task is placed.
     #[test]
     fn even_bound(
         racks in vec(vec(1u16..5, 1..5), 1..5), tasks in 1usize..170, name in names(), seed: u64,
@@ -206,7 +206,7 @@
         for placed in 0..tasks as u32 {
             let query = PlacementQuery { siblings: &siblings, ..query(Spread::Even) };
             let Choice::Place(key) = choose(name, &view, &query, seed ^ u64::from(placed)) else {
-                return Err(TestCaseError::fail("held back"));
+                return Err(TestCaseError::fail("task not placed"));
             };
             let row = view.row(key).unwrap();
             row.live.outstanding.fetch_add(1, Relaxed);
@@ -226,7 +226,7 @@
         }
     }
 
-    /// The own data centre while it has a free slot.
+    /// The entry's own data centre is chosen while it has a free slot.
     #[test]
     fn local_first(upstreams in vec(upstream(), 1..24), seed: u64) {
         let view = view(&upstreams);
--- a/crates/decide/tests/queue.rs
+++ b/crates/decide/tests/queue.rs
@@ -1,5 +1,5 @@
-//! The waiting queue: urgency, fairness between organisations, order within
-//! one, room, deadlines and removal.
+//! Waiting queue: urgency, fairness between organisations, order within an
+//! organisation, room, deadlines and removal.
 
 use {
     proptest::{collection::vec, prelude::*, test_runner::RngSeed},
@@ -65,8 +65,8 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// Against a plain list: nothing is lost or given twice, the most urgent
-    /// class goes first, and a kind of an organisation in order.
+    /// Comparison with a plain list: no task is lost or returned twice, the most
+    /// urgent class is served first, and tasks of a kind and organisation in order.
     #[test]
     fn like_a_list(steps in vec(step(), 0..120)) {
         let mut queue = Queue::new(50);
@@ -116,8 +116,8 @@
         prop_assert_eq!(queue.next_expiry_ms(), None);
     }
 
-    /// Two organisations with tasks waiting throughout get work in proportion
-    /// to their weights, to within one task of each.
+    /// Two organisations whose tasks always wait are served in proportion to their
+    /// weights, to within one task of each.
     #[test]
     fn fair_shares(weights in (1u32..5, 1u32..5), costs in vec((1u32..300, 1u32..300), 400)) {
         let mut queue = Queue::new(4_000);
@@ -136,8 +136,8 @@
         }
     }
 
-    /// However much another queued or was served before, a quiet organisation's
-    /// first task waits for at most one task of each other.
+    /// However many tasks others have queued, and however many were served before,
+    /// the first task of a new organisation waits for at most one task of each other.
     #[test]
     fn noisy_neighbour(flood in 1u32..500, served in 0u32..400, noisy in 1u64..5) {
         let mut queue = Queue::new(10_000);
@@ -156,7 +156,7 @@
         prop_assert!(u64::from(ahead) >= position);
     }
 
-    /// There is room for one more organisation, however many flood the queue.
+    /// However many organisations flood the queue, another one still finds room.
     #[test]
     fn room_left(max_tasks in 20u32..2_000, noisy in 1u64..8) {
         let mut queue = Queue::new(max_tasks);
@@ -221,7 +221,7 @@
             return;
         }
     }
-    panic!("it gained by emptying its queue");
+    panic!("the organisation gained by emptying its queue");
 }
 
 #[test]
--- a/crates/decide/tests/retry.rs
+++ b/crates/decide/tests/retry.rs
@@ -1,4 +1,4 @@
-//! Retries and hedges: what is allowed, what they cost, and that they end.
+//! Retries and hedges: conditions, cost, and the bound on their number.
 
 use {
     proptest::{collection::vec, prelude::*, test_runner::RngSeed},
@@ -51,10 +51,10 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// Over any run, retries stay below a tenth of the successes and what was
-    /// saved before.
+    /// In any sequence, there are no more retries than a tenth of the successes plus
+    /// the initial budget.
     #[test]
-    fn no_storm(succeeded in vec(any::<bool>(), 0..2_000)) {
+    fn retries_bounded_by_successes(succeeded in vec(any::<bool>(), 0..2_000)) {
         let budget = RetryBudget::default();
         let (mut successes, mut retries) = (0, 0);
         for succeeded in succeeded {
@@ -68,7 +68,7 @@
         }
     }
 
-    /// A retry is allowed by its kind, and its run fits before the deadline.
+    /// A retry happens only if its kind allows it and it can end before the deadline.
     #[test]
     fn allowed_only(
         repeatable: bool, attempts in 1u8..6, max_attempts in 1u8..6,
@@ -86,15 +86,15 @@
         }
     }
 
-    /// A pause is random below a doubling bound, after the time told.
+    /// A pause is the requested minimum plus a random time below a doubling bound.
     #[test]
-    fn backoff_bound(repetitions: u8, told_ms in 0u64..1_000, seed: u64) {
-        let pause_ms = backoff_ms(repetitions, told_ms, &mut SmallRng::seed_from_u64(seed));
+    fn backoff_bound(repetitions: u8, min_ms in 0u64..1_000, seed: u64) {
+        let pause_ms = backoff_ms(repetitions, min_ms, &mut SmallRng::seed_from_u64(seed));
         let bound_ms = (4u64 << repetitions.saturating_sub(1).min(10)).min(500);
-        prop_assert!((told_ms + 1..=told_ms + bound_ms).contains(&pause_ms));
+        prop_assert!((min_ms + 1..=min_ms + bound_ms).contains(&pause_ms));
     }
 
-    /// A hedge is allowed by its kind, late enough, and paid for.
+    /// A hedge happens only if its kind allows it, late enough, and if the budget pays.
     #[test]
     fn hedge_rules(
         repeatable: bool, prefers_time: bool, attempts in 1u8..4, max_attempts in 1u8..4,
--- a/crates/decide/tests/share.rs
+++ b/crates/decide/tests/share.rs
@@ -1,4 +1,4 @@
-//! Quotas shared over entries: the sum, the demand, and none left out.
+//! Division of quotas among entries: their sum, the effect of demand, and the minimum.
 
 use {
     proptest::{collection::vec, prelude::*, test_runner::RngSeed},
@@ -13,9 +13,9 @@
 struct Entries {
     ids: Vec<Incarnation>,
     shares: Vec<QuotaShares>,
-    /// Number of the report of the first that the second holds.
+    /// Number of the first entry's report that the second entry holds.
     held: HashMap<(usize, usize), u64>,
-    /// Organisations named in all reports.
+    /// Number of organisations in all reports together.
     named: usize,
     now_ms: u64,
 }
@@ -27,25 +27,28 @@
         Self { ids, shares, held: HashMap::new(), named: 0, now_ms: 1_000 }
     }
 
-    /// A window with this demand at each; reports reach the entries of the
-    /// same side.
+    /// Runs one window with the given demand at each entry. Reports reach only the
+    /// entries on the same side of the partition.
     fn window(&mut self, demand: &[u32], side: &[u8]) {
         self.now_ms += u64::from(WINDOW_MS);
         for from in 0..self.ids.len() {
-            let asked = [(ORGANISATION, demand[from])];
-            self.shares[from].close_window(asked, WINDOW_MS, self.now_ms);
+            let requested = [(ORGANISATION, demand[from])];
+            self.shares[from].close_window(requested, WINDOW_MS, self.now_ms);
             for to in (0..self.ids.len()).filter(|&to| to != from && side[to] == side[from]) {
-                self.tell(from, to);
+                self.send_report(from, to);
             }
         }
     }
 
-    fn tell(&mut self, from: usize, to: usize) {
+    fn send_report(&mut self, from: usize, to: usize) {
         let held = self.held.get(&(from, to)).copied().unwrap_or(0);
         let mut report = self.shares[from].report(held);
         if !self.shares[to].receive_report(&report, self.now_ms) {
             report = self.shares[from].report(0);
-            assert!(self.shares[to].receive_report(&report, self.now_ms), "all is taken");
+            assert!(
+                self.shares[to].receive_report(&report, self.now_ms),
+                "a full report is accepted"
+            );
         }
         self.named += report.starts_per_s.len();
         self.held.insert((from, to), report.number);
@@ -65,8 +68,8 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// However demand moves and the network is cut into sides, all fractions
-    /// together are the whole, and none is below a fifth of an equal one.
+    /// For any demand and any network partition, all fractions together are one, and
+    /// none is below a fifth of an equal part.
     #[test]
     fn sum_bound(
         count in 1usize..20,
@@ -74,7 +77,7 @@
     ) {
         let mut entries = Entries::new(count);
         for (demand, side) in windows {
-            // A side is cut for longer than reports stay fresh.
+            // The partition lasts longer than reports count.
             entries.now_ms += REPORT_VALID_MS;
             entries.window(&demand, &side);
             let fractions = entries.fractions();
@@ -83,8 +86,8 @@
         }
     }
 
-    /// The parts of a quota add up to no more than the quota, or one task in
-    /// flight an entry.
+    /// The parts of a quota sum to at most the quota, or to one task in flight per
+    /// entry.
     #[test]
     fn part_bound(
         count in 1usize..20, demand in vec(0u32..5_000, 20),
@@ -104,8 +107,8 @@
         prop_assert!(parts.iter().all(|it| (it.max_in_flight == 0) == (max_in_flight == 0)));
     }
 
-    /// Steady demand within four fifths of the quota is met at each entry after
-    /// a few windows, wherever it is.
+    /// A steady demand of at most four fifths of the quota is met at each entry after
+    /// a few windows, however it is distributed.
     #[test]
     fn demand_follows(weights in vec(0u32..100, 1..20), before in vec(0u32..5_000, 20)) {
         let total: u32 = weights.iter().sum();
@@ -122,7 +125,7 @@
 }
 
 #[test]
-fn nothing_heard() {
+fn no_reports() {
     let mut entries = Entries::new(4);
     assert_eq!(entries.fractions(), [0.25; 4]);
     entries.window(&[900, 0, 0, 0], &[0, 1, 2, 3]);
@@ -156,7 +159,7 @@
     (0..20).for_each(|_| entries.window(&[900, 100], &[0, 0]));
     assert_eq!(entries.named, before, "nothing has changed");
     entries.window(&[9_000, 100], &[0, 0]);
-    assert_eq!(entries.named, before + 1, "a large change is told at once");
+    assert_eq!(entries.named, before + 1, "a large change is reported at once");
     assert!(entries.fractions()[0] > 0.85, "{:?}", entries.fractions());
 }
 
@@ -164,10 +167,13 @@
 fn lost_report() {
     let mut entries = Entries::new(2);
     entries.window(&[900, 0], &[0, 0]);
-    // The second has forgotten what it held of the first.
+    // The second entry no longer holds the report of the first.
     entries.shares[1] = QuotaShares::new(entries.ids[1]);
     let changes = entries.shares[0].report(entries.held[&(0, 1)]);
-    assert!(!entries.shares[1].receive_report(&changes, entries.now_ms), "changes to nothing");
+    assert!(
+        !entries.shares[1].receive_report(&changes, entries.now_ms),
+        "changes to a report that is not held"
+    );
     entries.window(&[900, 0], &[0, 0]);
     assert_eq!(entries.fractions(), [0.9, 0.1]);
 }
--- a/crates/decide/tests/shedding.rs
+++ b/crates/decide/tests/shedding.rs
@@ -1,5 +1,5 @@
-//! Who is turned away for those that go before: the less urgent and the larger, in the
-//! measure in which the others suffer, and only if they would have to wait.
+//! Load shedding: less urgent and larger jobs are refused in proportion to the overload of
+//! the jobs with precedence, and only if they would have to wait.
 
 use {
     std::sync::Arc,
@@ -15,15 +15,15 @@
 
 const CAPACITY: Resources = Resources { cpu_milli: 10_000, memory_mb: 1_000, accelerators: 0 };
 
-struct Site {
+struct Setup {
     dispatch: Dispatch,
     agent: AgentKey,
     now_ms: u64,
     jobs: u64,
 }
 
-impl Site {
-    /// An entry whose only agent connected long ago, its upstream full.
+impl Setup {
+    /// An entry whose only agent connected long ago and whose upstream is full.
     fn new() -> Self {
         let mut dispatch = Dispatch::new(DispatchLimits::default(), Incarnation(1));
         let agent = dispatch.agent_connected("agent", Incarnation(1), None, 0);
@@ -39,11 +39,11 @@
                 leaving: false,
             },
         );
-        let mut site = Self { dispatch, agent, now_ms: 10_000, jobs: 0 };
-        // The agent has heard this entry lately.
-        site.dispatch.message_sent(agent, None, site.now_ms);
-        site.report(10_000);
-        site
+        let mut setup = Self { dispatch, agent, now_ms: 10_000, jobs: 0 };
+        // The agent has recently received a message of this entry.
+        setup.dispatch.message_sent(agent, None, setup.now_ms);
+        setup.report(10_000);
+        setup
     }
 
     fn report(&mut self, taken_milli: u32) {
@@ -58,7 +58,7 @@
         self.dispatch.handle_report(self.agent, &[], load, 1, self.now_ms);
     }
 
-    /// Hands a job in; whether it was turned away for others.
+    /// Submits a job and returns whether it was shed.
     fn is_shed(&mut self, priority: u8, tasks: u16, run_ms: u32, stretch: f64) -> bool {
         let submitted = self.submit(priority, tasks, 1_000, run_ms, stretch);
         matches!(submitted, Err(JobAnswer::NotRun { reason: NoResultReason::Shed, .. }))
@@ -100,8 +100,8 @@
         submitted
     }
 
-    /// Jobs of an urgent kind that are refused, as no wait fits into their time.
-    fn urgent_jobs_suffer(&mut self) {
+    /// Submits urgent jobs that are refused because their time permits no wait.
+    fn refuse_urgent_jobs(&mut self) {
         (0..10).for_each(|_| {
             assert!(!self.is_shed(0, 1, 50, 1.0));
         });
@@ -113,66 +113,66 @@
 }
 
 #[test]
-fn the_less_urgent_are_turned_away_while_the_urgent_suffer() {
-    let mut site = Site::new();
-    assert_eq!(site.shed_of_ten(1, 1), 0);
-    site.urgent_jobs_suffer();
-    assert!(site.shed_of_ten(1, 1) >= 8);
+fn less_urgent_jobs_are_shed_while_urgent_jobs_are_refused() {
+    let mut setup = Setup::new();
+    assert_eq!(setup.shed_of_ten(1, 1), 0);
+    setup.refuse_urgent_jobs();
+    assert!(setup.shed_of_ten(1, 1) >= 8);
 }
 
 #[test]
-fn the_urgent_are_not_turned_away_for_the_less_urgent() {
-    let mut site = Site::new();
+fn urgent_jobs_are_not_shed_for_less_urgent_ones() {
+    let mut setup = Setup::new();
     (0..10).for_each(|_| {
-        assert!(!site.is_shed(1, 1, 50, 1.0));
+        assert!(!setup.is_shed(1, 1, 50, 1.0));
     });
-    assert_eq!(site.shed_of_ten(0, 1), 0);
+    assert_eq!(setup.shed_of_ten(0, 1), 0);
 }
 
 #[test]
-fn among_the_equally_urgent_the_larger_are_turned_away() {
-    let mut site = Site::new();
-    site.urgent_jobs_suffer();
-    assert_eq!(site.shed_of_ten(0, 1), 0);
-    assert!(site.shed_of_ten(0, 8) >= 8);
+fn larger_jobs_of_equal_urgency_are_shed() {
+    let mut setup = Setup::new();
+    setup.refuse_urgent_jobs();
+    assert_eq!(setup.shed_of_ten(0, 1), 0);
+    assert!(setup.shed_of_ten(0, 8) >= 8);
 }
 
 #[test]
-fn nobody_is_turned_away_who_need_not_wait() {
-    let mut site = Site::new();
-    site.urgent_jobs_suffer();
-    site.report(0);
-    assert!(!site.is_shed(1, 1, 100, 50.0));
+fn jobs_that_need_not_wait_are_not_shed() {
+    let mut setup = Setup::new();
+    setup.refuse_urgent_jobs();
+    setup.report(0);
+    assert!(!setup.is_shed(1, 1, 100, 50.0));
 }
 
 #[test]
-fn it_fades_within_seconds() {
-    let mut site = Site::new();
-    site.urgent_jobs_suffer();
-    site.now_ms += 2_000;
-    site.dispatch.message_sent(site.agent, None, site.now_ms);
-    site.report(10_000);
-    assert_eq!(site.shed_of_ten(1, 1), 0);
+fn shedding_ends_within_seconds() {
+    let mut setup = Setup::new();
+    setup.refuse_urgent_jobs();
+    setup.now_ms += 2_000;
+    setup.dispatch.message_sent(setup.agent, None, setup.now_ms);
+    setup.report(10_000);
+    assert_eq!(setup.shed_of_ten(1, 1), 0);
 }
 
 #[test]
-fn callers_that_come_again_after_an_outage_are_not_turned_away() {
-    let mut site = Site::new();
-    site.dispatch.agent_ready(site.agent, site.now_ms);
-    site.dispatch.message_sent(site.agent, None, site.now_ms);
-    site.report(10_000);
-    site.urgent_jobs_suffer();
-    assert_eq!(site.shed_of_ten(1, 1), 0);
+fn retries_after_an_outage_are_not_shed() {
+    let mut setup = Setup::new();
+    setup.dispatch.agent_ready(setup.agent, setup.now_ms);
+    setup.dispatch.message_sent(setup.agent, None, setup.now_ms);
+    setup.report(10_000);
+    setup.refuse_urgent_jobs();
+    assert_eq!(setup.shed_of_ten(1, 1), 0);
 }
 
-/// Jobs that no upstream could ever hold say nothing about load: nobody is turned away
+/// Jobs that no upstream could ever run say nothing about load, so that no job is shed
 /// for them.
 #[test]
-fn jobs_that_can_never_run_turn_nobody_away() {
-    let mut site = Site::new();
+fn jobs_that_can_never_run_cause_no_shedding() {
+    let mut setup = Setup::new();
     for _ in 0..20 {
-        let answer = site.submit(0, 1, CAPACITY.cpu_milli + 1, 50, 1.0);
+        let answer = setup.submit(0, 1, CAPACITY.cpu_milli + 1, 50, 1.0);
         assert_eq!(answer, Err(JobAnswer::Failed));
     }
-    assert_eq!(site.shed_of_ten(1, 1), 0);
+    assert_eq!(setup.shed_of_ten(1, 1), 0);
 }
--- a/crates/decide/tests/view.rs
+++ b/crates/decide/tests/view.rs
@@ -1,4 +1,4 @@
-//! What an entry holds an upstream for between two reports.
+//! How an entry treats a full upstream between two load reports.
 
 use {
     std::sync::{Arc, atomic::Ordering::Relaxed},
@@ -28,19 +28,19 @@
 }
 
 #[test]
-fn full_doubted() {
+fn stale_full_report_yields_one_slot() {
     let full = row(8, 8, 5, 0);
     full.live.assume_slot_if_stale(HEARD_AT_MS + FULL_REPORT_VALID_MS - 1);
-    assert_eq!(full.free_slots(), -5, "believed for a while");
+    assert_eq!(full.free_slots(), -5, "the report still counts");
     full.live.assume_slot_if_stale(HEARD_AT_MS + FULL_REPORT_VALID_MS);
     assert_eq!(full.free_slots(), 1);
     full.live.outstanding.fetch_add(1, Relaxed);
     full.live.assume_slot_if_stale(HEARD_AT_MS + 10 * FULL_REPORT_VALID_MS);
-    assert_eq!(full.free_slots(), 0, "one task is risked, and its reply is due");
+    assert_eq!(full.free_slots(), 0, "one task may use the slot, and its reply is due");
 }
 
 #[test]
-fn believed_otherwise() {
+fn other_reports_stay_in_force() {
     let late_ms = HEARD_AT_MS + 10 * FULL_REPORT_VALID_MS;
     for (row, free_slots) in [(row(8, 8, 5, 1), -5), (row(8, 3, 0, 0), 5), (row(0, 0, 0, 0), 0)] {
         row.live.assume_slot_if_stale(late_ms);
