--- a/crates/agent/src/main.rs
+++ b/crates/agent/src/main.rs
@@ -1,4 +1,4 @@
-//! Runs an agent until it is told to stop.
+//! Runs an agent until a signal stops it.
 
 use {
     std::process::ExitCode,
@@ -39,19 +39,19 @@
 }
 
 async fn serve(settings: AgentSettings) -> eyre::Result<Exit> {
-    logs::init(logs::level(&settings.log_level).unwrap_or(log::LevelFilter::Info));
+    logs::init(logs::parse_level(&settings.log_level).unwrap_or(log::LevelFilter::Info));
     invariant::set_fatal(settings.fatal_invariants);
     let page = metrics_page::install()?;
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
     let agent = Agent::start(settings, Box::new(move || page.render())).await?;
-    let signal = first_of(&mut terminate, &mut interrupt).await;
+    let signal = first_signal(&mut terminate, &mut interrupt).await;
     event!(Info, "stop_asked", signal = signal);
     let stopped = agent.stop().await;
     Ok(if stopped.cut == 0 { Exit::Stopped } else { Exit::CutWork })
 }
 
-async fn first_of(terminate: &mut Signal, interrupt: &mut Signal) -> &'static str {
+async fn first_signal(terminate: &mut Signal, interrupt: &mut Signal) -> &'static str {
     tokio::select! {
         _ = terminate.recv() => "SIGTERM",
         _ = interrupt.recv() => "SIGINT",
--- a/crates/bench/src/policy/world/entries.rs
+++ b/crates/bench/src/policy/world/entries.rs
@@ -7,7 +7,7 @@
         clock::millis,
         tally::{End, Ended},
     },
-    sycamorerail_decide::dispatch::{AgentKey, Command, JobAnswer, PoolSeen},
+    sycamorerail_decide::dispatch::{AgentKey, Command, JobAnswer, PoolView},
     sycamorerail_wire::runs::{FromRunsAgent, ToRunsAgent},
 };
 
@@ -22,7 +22,7 @@
         if let Err(answer) = submitted {
             let has_room = |agent: &ModelAgent| {
                 let load = agent.ledger.load(millis(self.clock.now()));
-                load.usable && load.capacity.less(&load.taken).cpu_milli >= cpu_milli
+                load.usable && load.capacity.minus(&load.taken).cpu_milli >= cpu_milli
             };
             self.notes[number].was_free = self.agents.iter().any(has_room);
             self.answered(number, answer);
@@ -73,8 +73,8 @@
                     self.recalls += tasks.len() as u64;
                     self.tell(entry, agent, ToRunsAgent::Withdraw(tasks));
                 }
-                Command::Finish(agent, job, give_up_in_ms) => {
-                    self.tell(entry, agent, ToRunsAgent::Finish { job, give_up_in_ms });
+                Command::JobMostlyStarted(agent, job, give_up_in_ms) => {
+                    self.tell(entry, agent, ToRunsAgent::JobMostlyStarted { job, give_up_in_ms });
                 }
                 Command::Answer(job, answer) => {
                     if let Some(number) = self.entries[entry].jobs.remove(&job) {
@@ -119,8 +119,9 @@
         }
         let entry = &self.entries[link.entry];
         let linked = entry.agents[&link.agent];
-        let PoolSeen { agents, largest } = entry.dispatch.pool_of(linked.key);
-        let beat = ToRunsAgent::Beat { heard: 0, confirmed: linked.confirmed, agents, largest };
+        let PoolView { agents, largest } = entry.dispatch.pool_view(linked.key);
+        let beat =
+            ToRunsAgent::Heartbeat { heard: 0, confirmed: linked.confirmed, agents, largest };
         self.tell(link.entry, linked.key, beat);
         self.clock.after(BEAT, Event::Beat(link));
     }
@@ -137,9 +138,9 @@
             FromRunsAgent::Report { heard, reports, load } => {
                 let last = reports.last().map_or(0, |report| report.number);
                 linked.confirmed = last.max(linked.confirmed);
-                entry.dispatch.report(agent, &reports, load, heard, now_ms);
+                entry.dispatch.handle_report(agent, &reports, load, heard, now_ms);
             }
-            FromRunsAgent::Upstream(life) => entry.dispatch.set_life(agent, life),
+            FromRunsAgent::Upstream(life) => entry.dispatch.set_instance(agent, life),
             _ => {}
         }
         self.carry_out(link.entry);
--- a/crates/decide/examples/choose_cost.rs
+++ b/crates/decide/examples/choose_cost.rs
@@ -1,34 +1,34 @@
-//! Measures what one choice costs at the size of the fleet.
+//! Measures the cost of one placement choice in a large fleet.
 //!
 //! `cargo run --release -p sycamorerail-decide --example choose_cost`
 //!
-//! Prints one line a policy and state of the fleet: the median and the best
-//! batch mean in nanoseconds, on one thread.
+//! Prints one line for each policy and fleet state: the median and the best batch
+//! mean in nanoseconds, on one thread.
 
 use {
     rand::{Rng, SeedableRng, rngs::SmallRng},
     std::{hint::black_box, sync::Arc, sync::atomic::Ordering::Relaxed, time::Instant},
     sycamorerail_decide::{
-        placement::{Ask, Policy, Spread},
-        view::{DataCentreKey, KindKey, Live, RackKey, Row, UpstreamKey, View},
+        placement::{PlacementQuery, Policy, Spread},
+        view::{DataCentreKey, KindKey, LiveState, RackKey, UpstreamKey, UpstreamRow, View},
     },
 };
 
 const ROWS: u32 = 1_100;
-const ROWS_A_RACK: u32 = 3;
+const ROWS_PER_RACK: u32 = 3;
 const DATA_CENTRES: u32 = 4;
 const SLOTS: u32 = 8;
 const BATCHES: u32 = 31;
-const CHOICES_A_BATCH: u32 = 300;
+const CHOICES_PER_BATCH: u32 = 300;
 
-/// A state of the fleet.
+/// A state of the fleet to measure.
 struct Fleet {
     name: &'static str,
-    /// Share of the rows with a free slot.
+    /// Fraction of the rows with a free slot.
     free_share: f64,
-    /// Rows list the kinds they serve.
+    /// Whether rows list the kinds that they serve.
     lists_kinds: bool,
-    /// Siblings placed before.
+    /// Number of siblings placed before.
     siblings: u16,
 }
 
@@ -63,7 +63,7 @@
 }
 
 fn batch_ns(policy: &Policy, view: &View, siblings: &[(RackKey, u16)], rng: &mut SmallRng) -> f64 {
-    let ask = Ask {
+    let query = PlacementQuery {
         kind: KindKey(7),
         size_bytes: 1_000_000,
         run_ms: 200,
@@ -75,25 +75,25 @@
         max_queued: 4,
     };
     let begin = Instant::now();
-    for now_ms in 0..u64::from(CHOICES_A_BATCH) {
-        black_box((policy.choose)(black_box(view), black_box(&ask), rng, now_ms));
+    for now_ms in 0..u64::from(CHOICES_PER_BATCH) {
+        black_box((policy.choose)(black_box(view), black_box(&query), rng, now_ms));
     }
-    begin.elapsed().as_nanos() as f64 / f64::from(CHOICES_A_BATCH)
+    begin.elapsed().as_nanos() as f64 / f64::from(CHOICES_PER_BATCH)
 }
 
 fn view(fleet: &Fleet, rng: &mut SmallRng) -> View {
     View { rows: (0..ROWS).map(|key| row(key, fleet, rng)).collect() }
 }
 
-fn row(key: u32, fleet: &Fleet, rng: &mut SmallRng) -> Row {
-    let rack = key / ROWS_A_RACK;
-    let live = Live::default();
+fn row(key: u32, fleet: &Fleet, rng: &mut SmallRng) -> UpstreamRow {
+    let rack = key / ROWS_PER_RACK;
+    let live = LiveState::default();
     let free = rng.random_bool(fleet.free_share);
     live.slots.store(SLOTS, Relaxed);
     live.running.store(if free { rng.random_range(0..SLOTS) } else { SLOTS }, Relaxed);
     live.queued.store(if free { 0 } else { rng.random_range(0..8) }, Relaxed);
     live.mean_run_us.store(rng.random_range(50_000..1_000_000), Relaxed);
-    Row {
+    UpstreamRow {
         key: UpstreamKey(key),
         data_centre: DataCentreKey((rack % DATA_CENTRES) as u16),
         rack: RackKey(rack as u16),
--- a/crates/decide/src/ledger/mod.rs
+++ b/crates/decide/src/ledger/mod.rs
@@ -1,18 +1,18 @@
-//! An agent's ledger of runs under leases: who waits, what runs, and what room
+//! An agent's ledger of runs under leases: which tasks wait, which run, and how much capacity
 //! is left on its upstream.
 //!
-//! The agent is the only one that gives orders to its upstream, so the ledger
-//! is the authority on room. Room is taken when a start is ordered and comes
-//! back only when the upstream shows that the run is over: its end is listed, or
-//! a renewal sent after a confirmed stop, or after the order's last moment, does
-//! not list it. A start without an answer keeps its room until then.
+//! The agent is the only one that sends orders to its upstream, so the ledger is the authority
+//! on free capacity. A run takes its capacity when its start is ordered and frees it only once
+//! the upstream shows that the run is over: the upstream lists its end, or does not list the
+//! run in the answer to a renewal that was sent after a confirmed stop or after the order's
+//! start deadline. A start without an answer keeps its capacity until then.
 //!
-//! After a restart nothing is known of the runs of the agent before it. They
-//! are stopped first, and nothing is started until none is listed any more.
+//! After a restart the agent knows nothing about the runs of its predecessor. It stops them
+//! first and starts nothing until the upstream lists none of them any more.
 
 mod cold;
 mod crash_log;
-mod lives;
+mod instances;
 mod load;
 mod order_fence;
 mod owners;
@@ -20,17 +20,17 @@
 mod types;
 
 pub use {
-    load::is_news,
+    load::is_significant_change,
     types::{
-        Announced, Decided, EndKind, Ended, LeaseAnswer, LedgerLimits, LifeEnd, StartAnswer,
-        StartOrder, StartRefusal, Withdrawn,
+        AnnouncementOutcome, EndKind, InstanceEnd, LeaseAnswer, LedgerLimits, RunDecision, RunEnd,
+        StartAnswer, StartOrder, StartRefusal, WithdrawalOutcome,
     },
 };
 
-pub(crate) use crash_log::CRASHES_KEPT_MS;
+pub(crate) use crash_log::CRASH_RETENTION_MS;
 
 use {
-    cold::Cold,
+    cold::ColdInstance,
     crash_log::CrashLog,
     order_fence::OrderFence,
     owners::Owners,
@@ -42,65 +42,66 @@
     sycamorerail_wire::{
         ids::Incarnation,
         runs::{
-            CallerId, LifeId, NotStarted, Placement, Room, RunEvent, RunReport, TaskCrashes,
-            TaskKey, UpstreamLife,
+            CallerJobId, InstanceId, NotStarted, Resources, RunEvent, RunReport, StepPlacement,
+            TaskCrashes, TaskKey, UpstreamInstance,
         },
     },
 };
 
-/// Part of the lease, in percent, after which an upstream that answered no
-/// renewal gets no new runs and no new lease: three calls whose answers are lost fit
-/// into it, each with its time-out.
-const TRUSTED_PERCENT: u64 = 80;
-/// The upstream's clock may be this much slower than ours, in percent.
+/// Part of the lease, in percent, after which an upstream that answered no renewal gets no new
+/// runs and no new lease. Three calls that time out fit into it.
+const TRUSTED_LEASE_PERCENT: u64 = 80;
+/// The upstream's clock may be this much slower than the agent's, in percent.
 const CLOCK_DRIFT_PERCENT: u64 = 2;
-/// An order that the upstream does not list as running this long after it was sent
-/// is doubted: as a rule it is carried out and answered within 2 ms.
-const DOUBT_MS: u64 = 25;
-/// Run times as the estimates say, in percent.
-const SOUND_PERCENT: u32 = 100;
-/// Waiting tasks looked at for one that fits, so that a wide task at the head
-/// does not leave room unused for long.
-const LOOK_AHEAD: usize = 16;
+/// An ordered run that the upstream does not list this long after the order was sent is
+/// stopped. An order is usually carried out and answered within 2 ms.
+const START_CONFIRM_WITHIN_MS: u64 = 25;
+/// Slowness of an upstream whose run times match the estimates, in percent.
+const NORMAL_SLOWNESS_PERCENT: u32 = 100;
+/// Number of waiting tasks examined for one that fits, so that a large task at the head of the
+/// queue does not leave capacity unused for long.
+const MAX_TASKS_EXAMINED: usize = 16;
 
 new_key_type! {
-    /// A run in the ledger.
+    /// Key of a run in the ledger.
     struct RunKey;
 }
 
-/// Where a run stands.
+/// Phase of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
-    /// Not ordered yet.
+    /// The start has not been ordered yet.
     Waiting,
-    /// Ordered; the answer is awaited, or did not come.
+    /// The start was ordered; the answer is pending or was lost.
     Ordered { since_ms: u64, late_after_clock_ms: u64, unanswered: bool },
-    /// Ordered of a life that ended since: the next one may have carried it out, or will.
+    /// The start was ordered from an instance that has ended since. The next instance may have
+    /// carried the order out, or may still do so.
     Orphaned { has_crashed: bool },
-    /// The upstream has confirmed it.
+    /// The upstream confirmed that it runs.
     Running { since_ms: u64 },
 }
 
-/// A stop that is wanted.
+/// A request to stop a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Stop {
-    /// When it was last sent.
+    /// When the stop was last sent.
     sent_ms: Option<u64>,
-    /// When the upstream confirmed it.
+    /// When the upstream confirmed the stop.
     confirmed_ms: Option<u64>,
 }
 
-/// Order of waiting tasks: those that can be in time first, by priority; among equals
-/// those of jobs that have begun, then by the latest moment to start in time.
+/// Sort key of waiting tasks: those that can be in time first, then by priority; within a
+/// priority the tasks of jobs that have mostly started, then by the latest start that is in
+/// time.
 ///
-/// The last tasks of a job that has begun are never late: without them all its work
-/// is wasted. At 1.8 times the usual load one short job in ten was given up with
-/// three quarters of its tasks done.
+/// The last tasks of a job that has mostly started never count as late, because without them
+/// all work on the job is wasted. At 1.8 times the usual load, one short job in ten was given
+/// up with three quarters of its tasks done.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Rank {
     is_late: bool,
     priority: u8,
-    is_beginning: bool,
+    is_job_mostly_waiting: bool,
     start_by_ms: u64,
     arrival: u64,
 }
@@ -111,61 +112,61 @@
     task: TaskKey,
     number: u32,
     spec: Arc<str>,
-    need: Room,
+    need: Resources,
     run_ms: u32,
     give_up_ms: u64,
     rank: Rank,
     phase: Phase,
     stop: Option<Stop>,
-    told_started: bool,
-    /// Upstreams crashed while it ran there: it runs apart from others like it.
+    start_reported: bool,
+    /// Upstreams crashed while the task ran: it does not run beside other suspect tasks.
     suspect: bool,
 }
 
-/// Suspensions of the VM so far.
+/// Suspensions of the VM since the process began.
 #[derive(Clone, Copy, Debug, Default)]
 struct Suspension {
-    /// All together, in milliseconds.
+    /// Total, in milliseconds.
     total_ms: u64,
-    /// The last one, and when it was noticed.
+    /// Length of the last suspension and when it was noticed.
     last_ms: u64,
     noticed_ms: u64,
 }
 
-/// The ledger of one agent.
+/// The ledger of one agent. The owner of a run is the entry that placed it.
 #[derive(Debug)]
 pub struct Ledger {
     limits: LedgerLimits,
-    /// The life that calls are meant for.
-    present: Option<LifeId>,
-    /// Answers to calls sent until then may be older than the present life.
-    present_since_ms: u64,
-    /// What the present life announced.
-    life: Option<UpstreamLife>,
-    /// Another life that was announced while the present one answered, and when.
-    doubted: Option<(UpstreamLife, /* since_ms */ u64)>,
-    /// When the present life's id was withdrawn, until an answer shows that it is there.
+    /// The instance that calls are addressed to.
+    current_instance: Option<InstanceId>,
+    /// Answers to calls sent up to this time may come from an instance before the current one.
+    current_since_ms: u64,
+    /// What the current instance announced.
+    announced_instance: Option<UpstreamInstance>,
+    /// Another instance that was announced while the current one was answering, and when.
+    doubted_announcement: Option<(UpstreamInstance, /* since_ms */ u64)>,
+    /// When the id of the current instance was withdrawn; cleared by an answer that refutes it.
     withdrawn_ms: Option<u64>,
     order_fence: OrderFence,
     draining: bool,
-    /// The upstream's data centre is evacuated: nothing is started there.
+    /// The upstream's data centre is evacuated, so nothing is started there.
     is_evacuated: bool,
-    /// Nothing of an earlier run of the agent is left on the upstream.
-    clean: bool,
-    /// The upstream's clock, and when it was told.
-    clock: Option<(/* clock_ms */ u64, /* at_ms */ u64)>,
+    /// No run of an earlier run of the agent is left on the upstream.
+    has_no_leftovers: bool,
+    /// The upstream's clock, and when it was read.
+    upstream_clock: Option<(/* clock_ms */ u64, /* at_ms */ u64)>,
     /// When the last answered renewal was sent.
     renewed_ms: Option<u64>,
-    /// When the lease has surely lapsed, counting by that renewal.
+    /// When the lease has certainly lapsed, counted from that renewal.
     lapsed_ms: u64,
     suspension: Suspension,
     acknowledged: u64,
     runs: SlotMap<RunKey, Run>,
     by_task: HashMap<TaskKey, RunKey>,
     waiting: BTreeSet<(Rank, RunKey)>,
-    taken: Room,
-    ordered: usize,
-    arrivals: u64,
+    taken: Resources,
+    pending_starts: usize,
+    next_arrival: u64,
     owners: Owners,
     leftovers: BTreeMap<(TaskKey, u32), Stop>,
     slowness_percent: u32,
@@ -173,26 +174,26 @@
     failing_percent: u32,
     failing_at_ms: u64,
     crash_log: CrashLog,
-    cold: Option<Cold>,
-    decided: Vec<Decided>,
+    cold: Option<ColdInstance>,
+    decided: Vec<RunDecision>,
 }
 
 impl Ledger {
-    /// An empty ledger, without an upstream.
+    /// Creates an empty ledger without an upstream.
     #[must_use]
     pub fn new(limits: LedgerLimits) -> Self {
         Self {
             limits,
-            present: None,
-            present_since_ms: 0,
-            life: None,
-            doubted: None,
+            current_instance: None,
+            current_since_ms: 0,
+            announced_instance: None,
+            doubted_announcement: None,
             withdrawn_ms: None,
             order_fence: OrderFence::default(),
             draining: false,
             is_evacuated: false,
-            clean: false,
-            clock: None,
+            has_no_leftovers: false,
+            upstream_clock: None,
             renewed_ms: None,
             lapsed_ms: 0,
             suspension: Suspension::default(),
@@ -200,12 +201,12 @@
             runs: SlotMap::with_key(),
             by_task: HashMap::new(),
             waiting: BTreeSet::new(),
-            taken: Room::default(),
-            ordered: 0,
-            arrivals: 0,
+            taken: Resources::default(),
+            pending_starts: 0,
+            next_arrival: 0,
             owners: Owners::default(),
             leftovers: BTreeMap::new(),
-            slowness_percent: SOUND_PERCENT,
+            slowness_percent: NORMAL_SLOWNESS_PERCENT,
             slowness_at_ms: 0,
             failing_percent: 0,
             failing_at_ms: 0,
@@ -215,37 +216,40 @@
         }
     }
 
-    /// Hands back what waits and is larger than the whole upstream, whose room may shrink
-    /// and grow as it runs: it would wait in vain, and keep others from being looked at.
-    /// What runs goes on; room comes back as it ends.
+    /// Hands back waiting tasks that need more than the upstream's whole capacity, which may
+    /// change while it runs. They could never start, and would use up the number of tasks that
+    /// are examined. Active runs go on; their capacity is freed as they end.
     fn drop_too_large(&mut self) {
-        let Some(capacity) = self.life.as_ref().map(|life| life.capacity) else { return };
-        let is_too_large = |key: &RunKey| !capacity.fits(&self.runs[*key].need);
+        let Some(capacity) = self.announced_instance.as_ref().map(|instance| instance.capacity)
+        else {
+            return;
+        };
+        let is_too_large = |key: &RunKey| !capacity.covers(&self.runs[*key].need);
         let keys: Vec<_> = self.waiting.iter().map(|&(_, key)| key).filter(is_too_large).collect();
         for key in keys {
             self.settle(key, RunEvent::NotStarted(NotStarted::NoRoom));
         }
     }
 
-    fn lose_active(&mut self, event: RunEvent) {
-        for key in self.active() {
+    fn settle_active(&mut self, event: RunEvent) {
+        for key in self.active_runs() {
             self.settle(key, event);
         }
     }
 
-    fn active(&self) -> Vec<RunKey> {
+    fn active_runs(&self) -> Vec<RunKey> {
         let active = self.runs.iter().filter(|(_, run)| run.phase != Phase::Waiting);
         active.map(|(key, _)| key).collect()
     }
 
-    /// Starts nothing more; what runs goes on.
+    /// Stops starting tasks and hands the waiting ones back; active runs go on.
     pub fn drain(&mut self) {
         self.draining = true;
         self.drop_waiting(NotStarted::Leaving);
     }
 
-    /// Takes note of whether the upstream's data centre is evacuated. What waits is handed
-    /// back, what runs goes on. Returns whether that has changed.
+    /// Sets whether the upstream's data centre is evacuated. If so, waiting tasks are handed
+    /// back and active runs go on. Returns whether the state changed.
     pub fn set_evacuated(&mut self, is_evacuated: bool) -> bool {
         let changed = self.is_evacuated != is_evacuated;
         self.is_evacuated = is_evacuated;
@@ -255,13 +259,13 @@
         changed
     }
 
-    /// Whether nothing runs and every report was confirmed.
+    /// Whether there are no runs and every report was confirmed.
     #[must_use]
     pub fn is_idle(&self) -> bool {
         self.runs.is_empty() && self.owners.all_confirmed()
     }
 
-    /// Runs that began or may have begun and are not over.
+    /// Returns the number of runs that started or may have started and are not over.
     #[must_use]
     pub fn active_count(&self) -> usize {
         self.runs.len() - self.waiting.len()
@@ -274,21 +278,22 @@
         }
     }
 
-    /// An entry was heard of.
-    pub fn owner_heard(&mut self, owner: Incarnation, now_ms: u64) {
-        self.owners.heard(owner, now_ms);
+    /// Records that an entry was heard from.
+    pub fn note_owner_contact(&mut self, owner: Incarnation, now_ms: u64) {
+        self.owners.note_contact(owner, now_ms);
     }
 
-    /// Ends what entries that were not heard for long have here; returns them.
+    /// Ends the runs of entries that were not heard from for the owner timeout. Returns these
+    /// entries.
     pub fn drop_silent_owners(&mut self, now_ms: u64) -> Vec<Incarnation> {
-        let silent = self.owners.silent(now_ms, self.limits.owner_silence_ms);
+        let silent = self.owners.silent_owners(now_ms, self.limits.owner_timeout_ms);
         for &owner in &silent {
             self.drop_owner(owner);
         }
         silent
     }
 
-    /// Ends what an entry has here, as its jobs are lost with it.
+    /// Ends all runs of an entry, as its jobs are lost with it.
     pub fn drop_owner(&mut self, owner: Incarnation) {
         let mine = self.runs.iter().filter(|(_, run)| run.owner == owner);
         let keys: Vec<_> = mine.map(|(key, _)| key).collect();
@@ -298,38 +303,38 @@
         self.owners.remove(owner);
     }
 
-    /// Runs that an entry has here, for the reconciliation of a new connection.
+    /// Returns the runs of an entry, to reconcile them over a new connection.
     #[must_use]
-    pub fn held(&self, owner: Incarnation) -> Vec<(TaskKey, u32)> {
+    pub fn held_runs(&self, owner: Incarnation) -> Vec<(TaskKey, u32)> {
         let mine = self.runs.values().filter(|run| run.owner == owner);
         mine.map(|run| (run.task, run.number)).collect()
     }
 
-    /// Reports runs that are over although an entry was told that they are held: they ended
-    /// after that, while the entry counted as silent and nothing was kept for it.
-    pub fn report_gone(&mut self, owner: Incarnation, held: &[(TaskKey, u32)]) {
+    /// Reports runs as lost that were listed to an entry as held and have ended since. They
+    /// ended while the entry counted as silent, and reports to a silent entry are not kept.
+    pub fn report_missing_runs(&mut self, owner: Incarnation, held: &[(TaskKey, u32)]) {
         for &(task, run) in held {
-            if self.find(task, run).is_none() && !self.owners.has_report(owner, task, run) {
+            if self.find_run(task, run).is_none() && !self.owners.has_report(owner, task, run) {
                 self.push_report(owner, task, run, RunEvent::Lost);
             }
         }
     }
 
-    /// Whether an entry has no run here, and no report that it has not confirmed.
+    /// Whether an entry has neither runs nor unconfirmed reports here.
     #[must_use]
-    pub fn has_nothing_of(&self, owner: Incarnation) -> bool {
+    pub fn is_owner_settled(&self, owner: Incarnation) -> bool {
         let has_run = self.runs.values().any(|run| run.owner == owner);
         !has_run && self.owners.is_confirmed(owner)
     }
 
-    /// Takes tasks of a job. What is not taken is reported as not started.
+    /// Accepts tasks of a job. Tasks that are not accepted are reported as not started.
     ///
-    /// Nothing is taken of an entry that was not heard lately: after a pause of this VM
-    /// orders from before it are read that the entry has placed elsewhere since.
-    pub fn place(&mut self, owner: Incarnation, placement: Placement, now_ms: u64) {
+    /// Nothing is accepted from an entry that was not heard from lately: after a suspension of
+    /// this VM the agent reads old orders whose tasks the entry has placed elsewhere since.
+    pub fn place(&mut self, owner: Incarnation, placement: StepPlacement, now_ms: u64) {
         let spec: Arc<str> = placement.spec.into();
         let objective_ms = now_ms + u64::from(placement.objective_in_ms);
-        let is_fresh = self.owners.is_fresh(owner, now_ms, self.limits.owner_silence_ms);
+        let is_fresh = self.owners.is_fresh(owner, now_ms, self.limits.owner_timeout_ms);
         for start in placement.tasks {
             let task = TaskKey { job: placement.job, step: placement.step, index: start.index };
             let run = Run {
@@ -342,22 +347,22 @@
                 give_up_ms: now_ms + u64::from(placement.give_up_in_ms),
                 rank: Rank {
                     is_late: false,
-                    is_beginning: !placement.finishing,
+                    is_job_mostly_waiting: !placement.job_mostly_started,
                     start_by_ms: objective_ms.saturating_sub(placement.run_ms.into()),
                     priority: placement.priority,
-                    arrival: self.arrivals,
+                    arrival: self.next_arrival,
                 },
                 phase: Phase::Waiting,
                 stop: None,
-                told_started: false,
+                start_reported: false,
                 suspect: placement.suspect,
             };
-            self.arrivals += 1;
-            self.take(run, is_fresh);
+            self.next_arrival += 1;
+            self.accept_task(run, is_fresh);
         }
     }
 
-    fn take(&mut self, run: Run, is_fresh: bool) {
+    fn accept_task(&mut self, run: Run, is_fresh: bool) {
         if let Some(&key) = self.by_task.get(&run.task) {
             let known = &self.runs[key];
             if known.owner != run.owner || known.number != run.number {
@@ -365,12 +370,12 @@
             }
             return;
         }
-        let refusal = match &self.life {
+        let refusal = match &self.announced_instance {
             None => Some(NotStarted::NoUpstream),
             Some(_) if !is_fresh => Some(NotStarted::Stale),
             Some(_) if self.is_leaving() || self.draining => Some(NotStarted::Leaving),
             Some(_) if self.is_evacuated => Some(NotStarted::Evacuated),
-            Some(life) if !life.capacity.fits(&run.need) => Some(NotStarted::NoRoom),
+            Some(instance) if !instance.capacity.covers(&run.need) => Some(NotStarted::NoRoom),
             Some(_) => None,
         };
         if let Some(why) = refusal {
@@ -382,8 +387,8 @@
         self.waiting.insert((rank, key));
     }
 
-    /// Starts nothing more of an entry's job and stops what runs of it.
-    pub fn stop_job(&mut self, owner: Incarnation, job: CallerId) {
+    /// Drops the waiting tasks of an entry's job and stops its active runs.
+    pub fn stop_job(&mut self, owner: Incarnation, job: CallerJobId) {
         let of_job = |run: &Run| run.owner == owner && run.task.job == job;
         let keys: Vec<_> =
             self.runs.iter().filter(|(_, run)| of_job(run)).map(|(key, _)| key).collect();
@@ -392,12 +397,12 @@
         }
     }
 
-    /// Has what waits of an entry's job go before others of its priority, as most of
-    /// the job has begun.
-    pub fn finish_job(
+    /// Moves the waiting tasks of an entry's job ahead of others of their priority, because
+    /// most of the job has started, and gives them `give_up_in_ms` from now on.
+    pub fn prioritise_job(
         &mut self,
         owner: Incarnation,
-        job: CallerId,
+        job: CallerJobId,
         give_up_in_ms: u32,
         now_ms: u64,
     ) {
@@ -411,13 +416,13 @@
             self.waiting.remove(&(rank, key));
             let run = &mut self.runs[key];
             run.give_up_ms = now_ms + u64::from(give_up_in_ms);
-            run.rank = Rank { is_late: false, is_beginning: false, ..rank };
+            run.rank = Rank { is_late: false, is_job_mostly_waiting: false, ..rank };
             self.waiting.insert((run.rank, key));
         }
     }
 
-    /// Hands a task back that waits still.
-    pub fn withdraw(&mut self, owner: Incarnation, task: TaskKey) {
+    /// Hands a task back if it still waits.
+    pub fn withdraw_task(&mut self, owner: Incarnation, task: TaskKey) {
         let Some(&key) = self.by_task.get(&task) else { return };
         let run = &self.runs[key];
         if run.owner == owner && run.phase == Phase::Waiting {
@@ -434,27 +439,27 @@
         }
     }
 
-    /// The next task to start, if one waits and has room. Room is taken.
+    /// Returns the next task to start, if one waits and fits, and takes its capacity.
     pub fn next_start(&mut self, now_ms: u64) -> Option<StartOrder> {
         if !self.may_start(now_ms) {
             return None;
         }
-        self.sort_out(now_ms);
-        let life = self.life.as_ref()?;
-        let free = life.capacity.less(&self.taken);
+        self.reorder_waiting(now_ms);
+        let instance = self.announced_instance.as_ref()?;
+        let free = instance.capacity.minus(&self.taken);
         let ready = |run: &Run| {
-            free.fits(&run.need)
+            free.covers(&run.need)
                 && !(run.suspect && self.has_active_suspect())
-                && self.owners.is_fresh(run.owner, now_ms, self.limits.owner_silence_ms)
+                && self.owners.is_fresh(run.owner, now_ms, self.limits.owner_timeout_ms)
         };
-        let mut ahead = self.waiting.iter().take(LOOK_AHEAD);
+        let mut ahead = self.waiting.iter().take(MAX_TASKS_EXAMINED);
         let &(rank, key) = ahead.find(|(_, key)| ready(&self.runs[*key]))?;
-        let late_after_clock_ms = self.clock_ms(now_ms)? + self.limits.start_within_ms;
+        let late_after_clock_ms = self.upstream_clock_ms(now_ms)? + self.limits.start_within_ms;
         self.waiting.remove(&(rank, key));
         let run = &mut self.runs[key];
         run.phase = Phase::Ordered { since_ms: now_ms, late_after_clock_ms, unanswered: false };
         self.taken = self.taken.plus(&run.need);
-        self.ordered += 1;
+        self.pending_starts += 1;
         let (task, number, spec) = (run.task, run.number, Arc::clone(&run.spec));
         Some(StartOrder { task, run: number, spec, late_after_clock_ms })
     }
@@ -463,21 +468,21 @@
         self.runs.values().any(|run| run.suspect && run.phase != Phase::Waiting)
     }
 
-    /// Nothing is believed of the upstream unless it answered a renewal lately:
-    /// after a pause of this process its runs may have lapsed.
+    /// Whether a start may be ordered now. The upstream must have answered a renewal lately:
+    /// after a pause of this process its lease may have lapsed.
     fn may_start(&self, now_ms: u64) -> bool {
-        self.takes_runs(now_ms) && self.ordered < self.limits.max_ordered
+        self.accepts_runs(now_ms) && self.pending_starts < self.limits.max_pending_starts
     }
 
-    /// Whether runs may be started on the upstream, as soon as there is room.
-    fn takes_runs(&self, now_ms: u64) -> bool {
-        self.clean
-            && self.life.is_some()
+    /// Whether the upstream accepts runs once it has free capacity.
+    fn accepts_runs(&self, now_ms: u64) -> bool {
+        self.has_no_leftovers
+            && self.announced_instance.is_some()
             && self.is_trusted(now_ms)
             && !self.is_leaving()
             && !self.draining
             && !self.is_evacuated
-            && !self.is_withdrawn()
+            && !self.has_pending_withdrawal()
     }
 
     /// Whether the upstream answered a renewal lately.
@@ -487,17 +492,17 @@
     }
 
     fn trusted_ms(&self) -> u64 {
-        self.limits.lease_ms * TRUSTED_PERCENT / 100
+        self.limits.lease_ms * TRUSTED_LEASE_PERCENT / 100
     }
 
-    /// Sends back what cannot be in time for anybody, and puts what is late
-    /// behind what is not.
-    fn sort_out(&mut self, now_ms: u64) {
+    /// Hands back tasks at the head of the queue that cannot end in time anywhere, and moves
+    /// late tasks behind those that can be in time.
+    fn reorder_waiting(&mut self, now_ms: u64) {
         while let Some(&(rank, key)) = self.waiting.first() {
             let run = &mut self.runs[key];
             if now_ms + u64::from(run.run_ms) > run.give_up_ms {
                 self.settle(key, RunEvent::NotStarted(NotStarted::TooLate));
-            } else if rank.is_beginning && !rank.is_late && rank.start_by_ms < now_ms {
+            } else if rank.is_job_mostly_waiting && !rank.is_late && rank.start_by_ms < now_ms {
                 self.waiting.remove(&(rank, key));
                 run.rank.is_late = true;
                 self.waiting.insert((run.rank, key));
@@ -507,8 +512,8 @@
         }
     }
 
-    /// Sends back waiting tasks whose time has passed, and forgets crashes of long ago.
-    pub fn expire(&mut self, now_ms: u64) {
+    /// Hands back waiting tasks whose time has passed, and drops old crash records.
+    pub fn drop_expired(&mut self, now_ms: u64) {
         self.crash_log.expire(now_ms);
         let too_late = |run: &Run| now_ms + u64::from(run.run_ms) > run.give_up_ms;
         let expired = self.waiting.iter().filter(|(_, key)| too_late(&self.runs[*key]));
@@ -518,19 +523,26 @@
         }
     }
 
-    /// The upstream's clock, as far as it is known.
+    /// Returns the upstream's clock, extrapolated from its last answer; `None` before the first
+    /// one.
     #[must_use]
-    pub fn clock_ms(&self, now_ms: u64) -> Option<u64> {
-        self.clock.map(|(clock_ms, at_ms)| clock_ms + now_ms.saturating_sub(at_ms))
+    pub fn upstream_clock_ms(&self, now_ms: u64) -> Option<u64> {
+        self.upstream_clock.map(|(clock_ms, at_ms)| clock_ms + now_ms.saturating_sub(at_ms))
     }
 
-    /// Takes note of the upstream's answer to a start.
-    pub fn start_answered(&mut self, task: TaskKey, run: u32, answer: StartAnswer, now_ms: u64) {
-        self.ordered = self.ordered.saturating_sub(1);
-        let Some(key) = self.find(task, run) else { return };
+    /// Handles the upstream's answer to a start.
+    pub fn handle_start_answer(
+        &mut self,
+        task: TaskKey,
+        run: u32,
+        answer: StartAnswer,
+        now_ms: u64,
+    ) {
+        self.pending_starts = self.pending_starts.saturating_sub(1);
+        let Some(key) = self.find_run(task, run) else { return };
         match (answer, self.runs[key].phase) {
-            // Which life carried an orphaned order out is not known.
-            (StartAnswer::Started, Phase::Ordered { .. }) => self.confirm(key, now_ms),
+            // It is not known which instance carried out an orphaned order.
+            (StartAnswer::Started, Phase::Ordered { .. }) => self.mark_running(key, now_ms),
             (StartAnswer::Unanswered, Phase::Ordered { since_ms, late_after_clock_ms, .. }) => {
                 let unanswered = true;
                 self.runs[key].phase = Phase::Ordered { since_ms, late_after_clock_ms, unanswered };
@@ -539,29 +551,30 @@
                 if why == StartRefusal::Unhealthy {
                     self.note_failure(true, now_ms);
                 }
-                self.settle(key, RunEvent::NotStarted(refusal(why)));
+                self.settle(key, RunEvent::NotStarted(not_started_reason(why)));
             }
             _ => {}
         }
     }
 
-    fn find(&self, task: TaskKey, number: u32) -> Option<RunKey> {
+    fn find_run(&self, task: TaskKey, number: u32) -> Option<RunKey> {
         let key = *self.by_task.get(&task)?;
         (self.runs[key].number == number).then_some(key)
     }
 
-    fn confirm(&mut self, key: RunKey, now_ms: u64) {
+    fn mark_running(&mut self, key: RunKey, now_ms: u64) {
         let run = &mut self.runs[key];
         run.phase = Phase::Running { since_ms: now_ms };
-        if !std::mem::replace(&mut run.told_started, true) {
+        if !std::mem::replace(&mut run.start_reported, true) {
             let (owner, task, number) = (run.owner, run.task, run.number);
             self.push_report(owner, task, number, RunEvent::Started);
         }
     }
 
-    /// Stops to be sent now, of runs and of what an earlier agent left.
+    /// Returns the stops to send now, for runs of this agent and for leftovers of an earlier
+    /// one.
     pub fn stops_due(&mut self, now_ms: u64) -> Vec<(TaskKey, u32)> {
-        let again_ms = self.limits.stop_again_ms;
+        let again_ms = self.limits.stop_retry_ms;
         let is_due = |stop: &Stop| stop.sent_ms.is_none_or(|sent_ms| now_ms >= sent_ms + again_ms);
         let mut due = Vec::new();
         for run in self.runs.values_mut() {
@@ -579,14 +592,14 @@
         due
     }
 
-    /// Takes a run out and reports what became of it.
+    /// Removes a run and reports its outcome.
     fn settle(&mut self, key: RunKey, event: RunEvent) {
         let Some(run) = self.runs.remove(key) else { return };
         self.by_task.remove(&run.task);
         if run.phase == Phase::Waiting {
             self.waiting.remove(&(run.rank, key));
         } else {
-            self.taken = self.taken.less(&run.need);
+            self.taken = self.taken.minus(&run.need);
         }
         self.report(&run, event);
     }
@@ -597,20 +610,20 @@
 
     fn push_report(&mut self, owner: Incarnation, task: TaskKey, run: u32, event: RunEvent) {
         if event == RunEvent::Crashed {
-            self.crash_log.note(task);
+            self.crash_log.record_own(task);
         }
-        self.owners.report(owner, task, run, event);
-        self.decided.push(Decided { owner, task, run, event, taken: self.taken });
+        self.owners.push_report(owner, task, run, event);
+        self.decided.push(RunDecision { owner, task, run, event, taken: self.taken });
     }
 
-    /// Reports to an entry that it has not confirmed.
+    /// Returns the reports that an entry has not confirmed.
     #[must_use]
     pub fn reports(&self, owner: Incarnation) -> Vec<RunReport> {
         self.owners.reports(owner)
     }
 
-    /// Tasks under which upstreams crashed, noted since the note of this number, and the
-    /// number of the last note. They are told to all entries, as of this run of the agent.
+    /// Returns the crash records after the given number, and the number of the latest record.
+    /// They are reported to all entries under `own`, the incarnation of this agent.
     #[must_use]
     pub fn crashes_after(
         &self,
@@ -618,27 +631,27 @@
         own: Incarnation,
         now_ms: u64,
     ) -> (Vec<TaskCrashes>, u64) {
-        (self.crash_log.after(number, own, now_ms), self.crash_log.last())
+        (self.crash_log.after(number, own, now_ms), self.crash_log.last_number())
     }
 
-    /// An entry tells of tasks under which upstreams of other agents crashed.
-    pub fn crashes_told(&mut self, told: &[TaskCrashes], own: Incarnation, now_ms: u64) {
-        let of_others = told.iter().filter(|told| told.agent != own);
-        of_others.for_each(|told| self.crash_log.learn(told, now_ms));
+    /// Records crashes at other agents that an entry reported.
+    pub fn learn_crashes(&mut self, reported: &[TaskCrashes], own: Incarnation, now_ms: u64) {
+        let of_others = reported.iter().filter(|crashes| crashes.agent != own);
+        of_others.for_each(|crashes| self.crash_log.record_remote(crashes, now_ms));
     }
 
-    /// An entry has taken note of its reports up to this number.
-    pub fn confirmed(&mut self, owner: Incarnation, number: u64) {
-        self.owners.confirmed(owner, number);
+    /// Handles an entry's confirmation of its reports up to this number.
+    pub fn confirm_reports(&mut self, owner: Incarnation, number: u64) {
+        self.owners.confirm_reports(owner, number);
     }
 
-    /// Decisions since the last call, for the log and the counters.
-    pub fn take_decided(&mut self) -> Vec<Decided> {
+    /// Returns the decisions made since the last call, for the log and the metrics.
+    pub fn take_decisions(&mut self) -> Vec<RunDecision> {
         std::mem::take(&mut self.decided)
     }
 }
 
-fn refusal(why: StartRefusal) -> NotStarted {
+fn not_started_reason(why: StartRefusal) -> NotStarted {
     match why {
         StartRefusal::Fenced => NotStarted::NoUpstream,
         StartRefusal::OldRun => NotStarted::OldRun,
--- a/crates/decide/tests/crashes.rs
+++ b/crates/decide/tests/crashes.rs
@@ -1,5 +1,5 @@
-//! Upstreams that crash under tasks: told apart from other losses, and no task is started
-//! again and again.
+//! Upstreams that crash under tasks: crashes are told apart from other losses, and no task is
+//! started again and again.
 
 use {
     proptest::{collection::vec, prelude::*},
@@ -9,56 +9,56 @@
     },
     sycamorerail_decide::{
         dispatch::{
-            AgentKey, Command, Dispatch, DispatchLimits, GiveUp, JobAnswer, JobKey, JobRequest,
-            KindParameters, StepRequest,
+            AgentKey, Command, Dispatch, DispatchLimits, JobAnswer, JobKey, JobRequest,
+            KindParameters, NoResultReason, StepRequest,
         },
-        ledger::{LeaseAnswer, Ledger, LedgerLimits, LifeEnd, StartAnswer},
+        ledger::{InstanceEnd, LeaseAnswer, Ledger, LedgerLimits, StartAnswer},
     },
     sycamorerail_wire::{
         ids::Incarnation,
         runs::{
-            CallerId, LifeId, Placement, Room, RunEvent, RunReport, TaskCrashes, TaskKey,
-            TaskStart, UpstreamLife, UpstreamLoad,
+            CallerJobId, InstanceId, Resources, RunEvent, RunReport, StepPlacement, TaskCrashes,
+            TaskKey, TaskStart, UpstreamInstance, UpstreamLoad,
         },
     },
 };
 
 const ENTRY: Incarnation = Incarnation(7);
-const CAPACITY: Room = Room { cpu_milli: 32_000, memory_mb: 1_000, accelerators: 0 };
-const NEED: Room = Room { cpu_milli: 1_000, memory_mb: 10, accelerators: 0 };
+const CAPACITY: Resources = Resources { cpu_milli: 32_000, memory_mb: 1_000, accelerators: 0 };
+const NEED: Resources = Resources { cpu_milli: 1_000, memory_mb: 10, accelerators: 0 };
 const TASKS: u16 = 4;
-/// The job that tests are about.
-const JOB: CallerId = CallerId(1);
-/// Crashes of upstreams under one task, after which it is never started again.
-const MOST_CRASHES: u32 = 3;
-/// Upstreams that are lost in a second where they are lost by dozens.
+/// The job under test.
+const JOB: CallerJobId = CallerJobId(1);
+/// Crashes of upstreams under one task after which it is never started again.
+const MAX_CRASHES: u32 = 3;
+/// Upstreams lost within a second in a mass loss.
 const LOST_IN_A_SECOND: usize = 24;
-/// A job is answered within this of its last crash, in milliseconds.
-const JUDGED_MS: u64 = 300;
+/// Time within which a job is answered after its last crash, in milliseconds.
+const VERDICT_MS: u64 = 300;
 
-fn life(id: &str, leaving: bool) -> UpstreamLife {
-    let (id, pool) = (LifeId::named(id), "desk".to_owned());
-    UpstreamLife { id, order_fence: 0, pool, capacity: CAPACITY, labels: Vec::new(), leaving }
+fn life(id: &str, leaving: bool) -> UpstreamInstance {
+    let (id, pool) = (InstanceId::without_start(id), "desk".to_owned());
+    UpstreamInstance { id, order_fence: 0, pool, capacity: CAPACITY, labels: Vec::new(), leaving }
 }
 
 fn task(index: u16) -> TaskKey {
     TaskKey { job: JOB, step: 0, index }
 }
 
-/// A ledger that runs a task of the entry.
+/// Creates a ledger that runs a task of the entry.
 fn running() -> Ledger {
     let mut ledger = Ledger::new(LedgerLimits::default());
     ledger.set_upstream(life("a", false));
-    ledger.owner_heard(ENTRY, 1);
+    ledger.note_owner_contact(ENTRY, 1);
     let answer = LeaseAnswer {
-        life: LifeId::named("a"),
+        instance: InstanceId::without_start("a"),
         sent_ms: 1,
         clock_ms: 50_001,
         ..LeaseAnswer::default()
     };
-    ledger.renewed(&answer, 1);
-    let placement = Placement {
-        job: CallerId(1),
+    ledger.handle_renewal_answer(&answer, 1);
+    let placement = StepPlacement {
+        job: CallerJobId(1),
         step: 0,
         spec: "spec".to_owned(),
         tasks: vec![TaskStart { index: 0, run: 1 }],
@@ -67,12 +67,12 @@
         priority: 0,
         objective_in_ms: 400,
         give_up_in_ms: 2_000,
-        finishing: false,
+        job_mostly_started: false,
         suspect: false,
     };
     ledger.place(ENTRY, placement, 2);
     let order = ledger.next_start(2).unwrap();
-    ledger.start_answered(order.task, order.run, StartAnswer::Started, 3);
+    ledger.handle_start_answer(order.task, order.run, StartAnswer::Started, 3);
     ledger
 }
 
@@ -81,19 +81,19 @@
 }
 
 #[test]
-fn a_life_that_ends_without_a_word_is_a_crash() {
+fn an_instance_that_ends_without_notice_has_crashed() {
     let mut ledger = running();
     ledger.set_upstream(life("b", false));
     assert_eq!(last_event(&ledger), RunEvent::Crashed);
     let mut ledger = running();
-    ledger.lose_upstream(LifeEnd::Crashed);
+    ledger.end_instance(InstanceEnd::Crashed);
     assert_eq!(last_event(&ledger), RunEvent::Crashed);
 }
 
 #[test]
-fn an_upstream_that_left_or_said_that_it_leaves_has_not_crashed() {
+fn an_upstream_that_left_or_announced_leaving_has_not_crashed() {
     let mut ledger = running();
-    ledger.lose_upstream(LifeEnd::Left);
+    ledger.end_instance(InstanceEnd::Left);
     assert_eq!(last_event(&ledger), RunEvent::Lost);
     let mut ledger = running();
     ledger.set_upstream(life("a", true));
@@ -104,25 +104,25 @@
 #[test]
 fn a_lease_that_lapsed_is_no_crash() {
     let mut ledger = running();
-    ledger.check_lapse(5_000);
+    ledger.check_lease_lapse(5_000);
     assert_eq!(last_event(&ledger), RunEvent::Lost);
 }
 
-/// An entry that so many agents have connected to.
+/// Creates an entry with this many connected agents.
 fn entry_with(agents: usize, now_ms: u64) -> (Dispatch, Vec<AgentKey>) {
     let mut dispatch = Dispatch::new(DispatchLimits::default(), ENTRY);
     let agents = (0..agents).map(|number| {
         let name = format!("agent-{number}");
         let agent = dispatch.agent_connected(&name, Incarnation(number as u64), None, now_ms);
         dispatch.agent_ready(agent, now_ms);
-        dispatch.set_life(agent, life(&name, false));
+        dispatch.set_instance(agent, life(&name, false));
         agent
     });
     let agents = agents.collect();
     (dispatch, agents)
 }
 
-fn request(id: CallerId, count: u16, now_ms: u64) -> JobRequest {
+fn request(id: CallerJobId, count: u16, now_ms: u64) -> JobRequest {
     let kind = KindParameters {
         name: "reach-check".to_owned(),
         pool: "desk".to_owned(),
@@ -142,7 +142,7 @@
     }
 }
 
-/// An entry with jobs and idle agents, and what its agents have.
+/// An entry with jobs and idle agents, and the state of those agents.
 struct Site {
     dispatch: Dispatch,
     now_ms: u64,
@@ -155,8 +155,8 @@
     at_agents: HashMap<(AgentKey, TaskKey), (u8, u64)>,
     down: HashSet<AgentKey>,
     reports: u64,
-    jobs: HashMap<JobKey, CallerId>,
-    answers: HashMap<CallerId, JobAnswer>,
+    jobs: HashMap<JobKey, CallerJobId>,
+    answers: HashMap<CallerJobId, JobAnswer>,
 }
 
 impl Site {
@@ -180,14 +180,14 @@
         site
     }
 
-    /// The same with the job that the test is about.
+    /// Creates the same with the job under test submitted.
     fn with_job() -> Self {
         let mut site = Self::new(5);
         site.submit(JOB, TASKS);
         site
     }
 
-    fn submit(&mut self, id: CallerId, count: u16) {
+    fn submit(&mut self, id: CallerJobId, count: u16) {
         match self.dispatch.submit(request(id, count, self.now_ms), self.now_ms) {
             Ok(key) => drop(self.jobs.insert(key, id)),
             Err(answer) => drop(self.answers.insert(id, answer)),
@@ -197,7 +197,7 @@
 
     fn report(&mut self, agent: AgentKey, reports: &[RunReport], usable: bool) {
         let here = self.placed.values().filter(|(at, _)| *at == agent).count() as u32;
-        let taken = Room { cpu_milli: here * NEED.cpu_milli, ..Room::default() };
+        let taken = Resources { cpu_milli: here * NEED.cpu_milli, ..Resources::default() };
         let load = UpstreamLoad {
             usable,
             capacity: CAPACITY,
@@ -205,7 +205,7 @@
             slowness_percent: 100,
             ..UpstreamLoad::default()
         };
-        self.dispatch.report(agent, reports, load, u64::MAX, self.now_ms);
+        self.dispatch.handle_report(agent, reports, load, u64::MAX, self.now_ms);
     }
 
     fn tell(&mut self, task: TaskKey, event: RunEvent) {
@@ -220,8 +220,7 @@
         self.act();
     }
 
-    /// Ends the life of an agent's upstream without a word; whether another one is there
-    /// at once.
+    /// Crashes an agent's upstream. `comes_back`: whether a new instance is there at once.
     fn crash(&mut self, agent: AgentKey, comes_back: bool) {
         let here = self.placed.iter().filter(|(_, (at, _))| *at == agent);
         let mut here: Vec<_> = here.map(|(&task, &(_, run))| (task, run)).collect();
@@ -240,7 +239,7 @@
         self.act();
     }
 
-    /// All that was placed begins.
+    /// Starts all placed tasks.
     fn start_all(&mut self) {
         let begun = &self.begun;
         let is_new =
@@ -254,7 +253,7 @@
         }
     }
 
-    /// Lets time pass after which all agents are heard.
+    /// Advances the time; all agents report before the tick.
     fn pass(&mut self, ms: u64) {
         self.now_ms += ms;
         for agent in self.agents.clone() {
@@ -265,15 +264,15 @@
         self.act();
     }
 
-    /// The upstream of the task's agent crashes while nothing else of interest runs there,
-    /// and the agent tells all entries before it reports.
-    fn crash_told(&mut self, task: TaskKey) {
+    /// Crashes the upstream of the task's agent while nothing else of interest runs there. The
+    /// agent sends the crash to all entries before it reports the run.
+    fn crash_and_report(&mut self, task: TaskKey) {
         let Some(&(agent, _)) = self.placed.get(&task) else { return };
         let known = self.at_agents.entry((agent, task)).or_default();
         *known = (known.0 + 1, self.now_ms);
         let crashes = known.0;
         let told = TaskCrashes { agent: self.run_of(agent), task, crashes, ago_ms: 0 };
-        self.dispatch.crashes_told(&[told], self.now_ms);
+        self.dispatch.record_crash_reports(&[told], self.now_ms);
         self.tell(task, RunEvent::Crashed);
     }
 
@@ -281,7 +280,7 @@
         Incarnation(self.agents.iter().position(|known| *known == agent).unwrap() as u64)
     }
 
-    /// The entry dies, and another one takes its place that agents tell what they know.
+    /// Replaces the entry by a new one, to which the agents send the crashes they know.
     fn replace_entry(&mut self) {
         let (dispatch, agents) = entry_with(self.agents.len(), self.now_ms);
         assert_eq!(agents, self.agents);
@@ -292,7 +291,7 @@
         self.pass(10);
         for (&(agent, task), &(crashes, at_ms)) in &self.at_agents {
             let ago_ms = u32::try_from(self.now_ms - at_ms).unwrap();
-            self.dispatch.crashes_told(
+            self.dispatch.record_crash_reports(
                 &[TaskCrashes { agent: self.run_of(agent), task, crashes, ago_ms }],
                 self.now_ms,
             );
@@ -313,7 +312,7 @@
                         self.placed.insert(task, (agent, start.run));
                         *self.starts.entry(task).or_default() += 1;
                         let crashes = self.crashes.get(&task).copied().unwrap_or(0);
-                        assert!(crashes < MOST_CRASHES, "{task} is started after {crashes}");
+                        assert!(crashes < MAX_CRASHES, "{task} is started after {crashes}");
                     }
                 }
                 Command::Stop(_, job) => self.stop(job),
@@ -326,7 +325,7 @@
         }
     }
 
-    fn stop(&mut self, job: CallerId) {
+    fn stop(&mut self, job: CallerJobId) {
         let mut here: Vec<_> = self.placed.keys().filter(|task| task.job == job).copied().collect();
         here.sort_unstable();
         here.into_iter().for_each(|task| self.tell(task, RunEvent::Stopped));
@@ -336,99 +335,107 @@
 #[test]
 fn a_task_under_which_three_upstreams_crashed_fails_its_job() {
     let mut site = Site::with_job();
-    for _ in 0..MOST_CRASHES {
+    for _ in 0..MAX_CRASHES {
         site.tell(task(0), RunEvent::Started);
         site.tell(task(0), RunEvent::Crashed);
     }
-    assert_eq!(site.answer(), None, "others may crash yet");
-    site.pass(JUDGED_MS);
-    assert_eq!(site.starts[&task(0)], MOST_CRASHES);
+    assert_eq!(site.answer(), None, "other upstreams may still crash");
+    site.pass(VERDICT_MS);
+    assert_eq!(site.starts[&task(0)], MAX_CRASHES);
     assert_eq!(site.answer(), Some(JobAnswer::Failed));
 }
 
 #[test]
 fn a_crash_that_is_told_and_reported_counts_once() {
     let mut site = Site::with_job();
-    site.crash_told(task(0));
-    site.crash_told(task(0));
-    site.pass(JUDGED_MS);
+    site.crash_and_report(task(0));
+    site.crash_and_report(task(0));
+    site.pass(VERDICT_MS);
     assert_eq!(site.answer(), None);
-    site.crash_told(task(0));
-    site.pass(JUDGED_MS);
+    site.crash_and_report(task(0));
+    site.pass(VERDICT_MS);
     assert_eq!(site.answer(), Some(JobAnswer::Failed));
 }
 
 #[test]
 fn a_job_that_crashed_three_upstreams_is_refused_by_another_entry() {
     let mut site = Site::with_job();
-    (0..MOST_CRASHES).for_each(|_| site.crash_told(task(0)));
+    (0..MAX_CRASHES).for_each(|_| site.crash_and_report(task(0)));
     site.replace_entry();
     site.submit(JOB, TASKS);
-    assert_eq!(site.answer(), Some(JobAnswer::Unknown { why: GiveUp::Crashing }), "not judged yet");
-    site.pass(JUDGED_MS);
+    assert_eq!(
+        site.answer(),
+        Some(JobAnswer::Unknown { reason: NoResultReason::Crashing }),
+        "not judged yet"
+    );
+    site.pass(VERDICT_MS);
     site.submit(JOB, TASKS);
     assert_eq!(site.answer(), Some(JobAnswer::Failed));
     assert!(site.placed.is_empty());
 }
 
-/// The clock of an entry that has just started counts from its start: a crash before that
-/// seemed to be of now, and its job was not called failed.
+/// Guards against crashes before an entry's start being dated as of now, so that their job was
+/// not answered as failed: the entry's clock counts from its start.
 #[test]
 fn a_crash_before_the_entry_started_keeps_its_age() {
     let (mut dispatch, _) = entry_with(3, 10);
     for run in 0..3 {
         let told =
             TaskCrashes { agent: Incarnation(run), task: task(0), crashes: 1, ago_ms: 5_000 };
-        dispatch.crashes_told(&[told], 10);
+        dispatch.record_crash_reports(&[told], 10);
     }
     assert_eq!(dispatch.submit(request(JOB, 1, 10), 10), Err(JobAnswer::Failed));
 }
 
-/// A caller's copy runs here while the first one crashes upstreams for another entry.
+/// A copy of the job runs here while the first one crashes upstreams for another entry.
 #[test]
-fn a_copy_is_given_up_by_what_agents_tell() {
+fn a_copy_is_given_up_when_agents_report_crashes() {
     let mut site = Site::with_job();
     site.start_all();
     for run in 0..3 {
         let told = TaskCrashes { agent: Incarnation(run), task: task(0), crashes: 1, ago_ms: 0 };
-        site.dispatch.crashes_told(&[told], site.now_ms);
+        site.dispatch.record_crash_reports(&[told], site.now_ms);
     }
     site.act();
-    site.pass(JUDGED_MS);
+    site.pass(VERDICT_MS);
     assert_eq!(site.answer(), Some(JobAnswer::Failed));
 }
 
-/// An entry that has just started was handed a job before all agents had told it.
+/// An entry that has just started may receive a job before all agents have sent it their crashes.
 #[test]
-fn one_agent_is_enough_to_tell_of_a_suspect() {
+fn one_agent_is_enough_to_report_a_suspect() {
     let mut first = entry_with(3, 100).0;
     let told = |run| TaskCrashes { agent: Incarnation(run), task: task(0), crashes: 1, ago_ms: 0 };
-    assert_eq!(first.crashes_told(&[told(0)], 100), [], "one crash makes no suspect");
-    let mut of_suspects = first.crashes_told(&[told(1)], 100);
-    of_suspects.extend(first.crashes_told(&[told(2)], 100));
+    assert_eq!(first.record_crash_reports(&[told(0)], 100), [], "one crash makes no suspect");
+    let mut of_suspects = first.record_crash_reports(&[told(1)], 100);
+    of_suspects.extend(first.record_crash_reports(&[told(2)], 100));
     let mut agent = Ledger::new(LedgerLimits::default());
-    agent.crashes_told(&of_suspects, Incarnation(9), 100);
+    agent.learn_crashes(&of_suspects, Incarnation(9), 100);
     let (known, _) = agent.crashes_after(0, Incarnation(9), 600);
     let mut next = entry_with(3, 600).0;
-    next.crashes_told(&known, 600);
+    next.record_crash_reports(&known, 600);
     assert_eq!(next.submit(request(JOB, 1, 600), 600), Err(JobAnswer::Failed));
-    assert_eq!(first.crashes_told(&known, 600), [], "what goes round comes to rest");
+    assert_eq!(
+        first.record_crash_reports(&known, 600),
+        [],
+        "known crashes are not passed on again"
+    );
 }
 
 #[test]
 fn the_log_of_crashes_is_bounded_in_time() {
     let own = Incarnation(5);
     let mut ledger = running();
-    ledger.lose_upstream(LifeEnd::Crashed);
-    ledger.expire(10);
+    ledger.end_instance(InstanceEnd::Crashed);
+    ledger.drop_expired(10);
     let (told, last) = ledger.crashes_after(0, own, 40);
     assert_eq!(told, [TaskCrashes { agent: own, task: task(0), crashes: 1, ago_ms: 30 }]);
     assert_eq!(ledger.crashes_after(last, own, 40), (vec![], last));
-    ledger.crashes_told(&told, own, 40);
-    assert_eq!(ledger.crashes_after(last, own, 40), (vec![], last), "its own");
-    ledger.expire(59_000);
+    ledger.learn_crashes(&told, own, 40);
+    assert_eq!(ledger.crashes_after(last, own, 40), (vec![], last), "its own crashes are not new");
+    ledger.drop_expired(59_000);
     assert_eq!(ledger.crashes_after(0, own, 59_000).0.len(), 1);
-    ledger.expire(61_000);
+    ledger.drop_expired(61_000);
     assert_eq!(ledger.crashes_after(0, own, 61_000).0, []);
 }
 
@@ -437,7 +444,7 @@
     let mut ledger = Ledger::new(LedgerLimits::default());
     for index in 0..1_000 {
         let told = TaskCrashes { agent: Incarnation(1), task: task(index), crashes: 2, ago_ms: 0 };
-        ledger.crashes_told(&[told], Incarnation(5), 100);
+        ledger.learn_crashes(&[told], Incarnation(5), 100);
     }
     let (kept, last) = ledger.crashes_after(0, Incarnation(5), 100);
     assert_eq!((kept.len(), last), (512, 1_000));
@@ -445,9 +452,9 @@
 }
 
 #[test]
-fn losses_for_other_causes_count_for_nothing() {
+fn losses_for_other_causes_are_not_crashes() {
     let mut site = Site::with_job();
-    for _ in 0..2 * MOST_CRASHES {
+    for _ in 0..2 * MAX_CRASHES {
         site.tell(task(0), RunEvent::Started);
         site.tell(task(0), RunEvent::Lost);
     }
@@ -455,9 +462,9 @@
     assert_eq!(site.answer(), Some(JobAnswer::Completed));
 }
 
-/// What ran on a lost upstream is placed at once; only what met two crashes is kept apart.
+/// Tasks of a lost upstream are placed again at once; only tasks with two crashes run apart.
 #[test]
-fn one_crash_keeps_nothing_waiting_and_two_keep_tasks_apart() {
+fn one_crash_delays_no_task_and_two_keep_tasks_apart() {
     let mut site = Site::with_job();
     let crash = |site: &mut Site| {
         for index in 0..TASKS {
@@ -471,12 +478,12 @@
     let mut places: Vec<_> = site.placed.values().map(|(agent, _)| *agent).collect();
     places.sort_unstable();
     places.dedup();
-    assert_eq!(places.len(), usize::from(TASKS), "each at an upstream of its own");
+    assert_eq!(places.len(), usize::from(TASKS), "each task at its own upstream");
 }
 
 proptest! {
-    /// However upstreams crash, no task is started after three crashes, and a job is called
-    /// failed only where three crashed under one of its tasks.
+    /// However upstreams crash, no task is started after three crashes, and a job fails only if
+    /// three upstreams crashed under one of its tasks.
     #[test]
     fn crashes_alone_fail_a_job(events in vec((0..TASKS, 0..4_u8, 0..60_u64), 0..80)) {
         let mut site = Site::with_job();
@@ -490,13 +497,13 @@
             };
             site.tell(task(index), event);
             if site.answer() == Some(JobAnswer::Failed) {
-                prop_assert!(site.crashes.values().any(|crashes| *crashes == MOST_CRASHES));
+                prop_assert!(site.crashes.values().any(|crashes| *crashes == MAX_CRASHES));
             }
         }
     }
 
-    /// However often entries die and the job is handed in again, no task is started after
-    /// three crashes, and one that crashed three upstreams fails its job.
+    /// However often entries die and the job is submitted again, no task is started after three
+    /// crashes, and a task that crashed three upstreams fails its job.
     #[test]
     fn crashes_count_over_the_deaths_of_entries(
         deaths in vec((any::<bool>(), 0..300_u64), 1..12),
@@ -510,21 +517,21 @@
                 site.submit(JOB, 1);
             }
             site.start_all();
-            site.crash_told(task(0));
+            site.crash_and_report(task(0));
             site.pass(wait_ms);
         }
         let crashes = site.crashes.get(&task(0)).copied().unwrap_or(0);
-        prop_assert!(crashes <= MOST_CRASHES);
-        if crashes == MOST_CRASHES {
+        prop_assert!(crashes <= MAX_CRASHES);
+        if crashes == MAX_CRASHES {
             site.replace_entry();
-            site.pass(JUDGED_MS);
+            site.pass(VERDICT_MS);
             site.submit(JOB, 1);
             prop_assert_eq!(site.answer(), Some(JobAnswer::Failed));
         }
     }
 
-    /// Jobs beside one that crashes its upstreams run on, however many there are and
-    /// whenever the crashes come.
+    /// Jobs beside one that crashes its upstreams continue, however many there are and whenever
+    /// the crashes come.
     #[test]
     fn only_the_job_that_crashes_upstreams_fails(
         innocent in 1..40_u64,
@@ -533,7 +540,7 @@
     ) {
         let mut site = Site::new(8);
         for number in 0..innocent {
-            site.submit(CallerId(100 + number), tasks);
+            site.submit(CallerJobId(100 + number), tasks);
         }
         site.submit(JOB, 1);
         for wait_ms in waits_ms {
@@ -542,7 +549,7 @@
             let (agent, _) = site.placed[&task(0)];
             site.crash(agent, true);
         }
-        site.pass(JUDGED_MS);
+        site.pass(VERDICT_MS);
         prop_assert_eq!(site.answer(), Some(JobAnswer::Failed));
         prop_assert_eq!(site.answers.len(), 1);
     }
@@ -552,7 +559,7 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(48))]
 
-    /// Upstreams that are lost by dozens in a second fail no job, whichever they hit.
+    /// A loss of dozens of upstreams within a second fails no job, whichever upstreams are hit.
     #[test]
     fn a_loss_of_dozens_of_upstreams_fails_no_job(
         order in Just((0..30_usize).collect::<Vec<_>>()).prop_shuffle(),
@@ -560,7 +567,7 @@
     ) {
         let mut site = Site::new(order.len());
         for number in 0..40 {
-            site.submit(CallerId(number), TASKS);
+            site.submit(CallerJobId(number), TASKS);
         }
         let mut up: Vec<_> = order.iter().map(|&number| site.agents[number]).collect();
         for _ in 0..LOST_IN_A_SECOND {
@@ -572,7 +579,7 @@
             site.crash(lost, false);
             site.pass(40);
         }
-        site.pass(JUDGED_MS);
+        site.pass(VERDICT_MS);
         prop_assert!(!site.answers.values().any(|answer| *answer == JobAnswer::Failed));
     }
 }
--- a/crates/decide/tests/dispatch.rs
+++ b/crates/decide/tests/dispatch.rs
@@ -1,22 +1,22 @@
-//! Dispatch of jobs at an entry: placement of whole jobs, attempts, refusals,
-//! reconciliation with agents.
+//! Dispatch of jobs at an entry: placement of whole jobs, attempts, refusals, and reconciliation
+//! with agents that reconnect.
 
 use {
     std::sync::Arc,
     sycamorerail_decide::dispatch::{
-        AgentKey, Command, Dispatch, DispatchLimits, GiveUp, JobAnswer, JobKey, JobRequest,
-        KindParameters, STOP_ANSWER_MS, StepRequest,
+        AgentKey, Command, Dispatch, DispatchLimits, JobAnswer, JobKey, JobRequest, KindParameters,
+        NoResultReason, STOP_ANSWER_MS, StepRequest,
     },
     sycamorerail_wire::{
         ids::Incarnation,
         runs::{
-            CallerId, LifeId, NotStarted, Placement, Room, RunEvent, RunReport, TaskKey,
-            UpstreamLife, UpstreamLoad,
+            CallerJobId, InstanceId, NotStarted, Resources, RunEvent, RunReport, StepPlacement,
+            TaskKey, UpstreamInstance, UpstreamLoad,
         },
     },
 };
 
-const CAPACITY: Room = Room { cpu_milli: 10_000, memory_mb: 1_000, accelerators: 0 };
+const CAPACITY: Resources = Resources { cpu_milli: 10_000, memory_mb: 1_000, accelerators: 0 };
 
 struct Site {
     dispatch: Dispatch,
@@ -28,15 +28,15 @@
     UpstreamLoad {
         usable: true,
         capacity: CAPACITY,
-        taken: Room { cpu_milli: taken_milli, memory_mb: 0, accelerators: 0 },
+        taken: Resources { cpu_milli: taken_milli, memory_mb: 0, accelerators: 0 },
         slowness_percent: 100,
         ..UpstreamLoad::default()
     }
 }
 
-fn life(labels: &[&str]) -> UpstreamLife {
-    UpstreamLife {
-        id: LifeId::named("life"),
+fn life(labels: &[&str]) -> UpstreamInstance {
+    UpstreamInstance {
+        id: InstanceId::without_start("life"),
         order_fence: 0,
         pool: "desk".to_owned(),
         capacity: CAPACITY,
@@ -59,7 +59,7 @@
 fn step(count: u16) -> StepRequest {
     StepRequest {
         count,
-        need: Room { cpu_milli: 3_000, memory_mb: 10, accelerators: 0 },
+        need: Resources { cpu_milli: 3_000, memory_mb: 10, accelerators: 0 },
         run_ms: 100,
         ..StepRequest::default()
     }
@@ -67,7 +67,7 @@
 
 fn job(id: u64, steps: Vec<StepRequest>) -> JobRequest {
     JobRequest {
-        id: CallerId(id),
+        id: CallerJobId(id),
         kind: kind(),
         spec: "spec".to_owned(),
         steps,
@@ -77,11 +77,12 @@
 }
 
 fn task(job: u64, step: u8, index: u16) -> TaskKey {
-    TaskKey { job: CallerId(job), step, index }
+    TaskKey { job: CallerJobId(job), step, index }
 }
 
 impl Site {
-    /// An entry at 100 ms with agents whose upstreams have so much taken.
+    /// Creates an entry at 100 ms, with one agent for each given amount of CPU that its upstream
+    /// has taken.
     fn new(taken_milli: &[u32]) -> (Self, Vec<AgentKey>) {
         let dispatch = Dispatch::new(DispatchLimits::default(), Incarnation(1));
         let mut site = Self { dispatch, now_ms: 100, reports: 0 };
@@ -97,8 +98,8 @@
         let dispatch = &mut self.dispatch;
         let agent = dispatch.agent_connected(name, Incarnation(run), None, self.now_ms);
         dispatch.agent_ready(agent, self.now_ms);
-        dispatch.set_life(agent, life(&[]));
-        dispatch.report(agent, &[], load, 0, self.now_ms);
+        dispatch.set_instance(agent, life(&[]));
+        dispatch.handle_report(agent, &[], load, 0, self.now_ms);
         agent
     }
 
@@ -113,20 +114,20 @@
     fn tell(&mut self, agent: AgentKey, task: TaskKey, run: u32, event: RunEvent) {
         self.reports += 1;
         let report = RunReport { number: self.reports, task, run, event };
-        self.dispatch.report(agent, &[report], load(0), 0, self.now_ms);
+        self.dispatch.handle_report(agent, &[report], load(0), 0, self.now_ms);
     }
 
-    /// Time passes, and agents have heard and are heard before the tick.
+    /// Advances the time; messages pass in both directions with these agents before the tick.
     fn tick_at(&mut self, now_ms: u64, agents: &[AgentKey]) {
         self.now_ms = now_ms;
         for &agent in agents {
             self.dispatch.message_sent(agent, None, now_ms);
-            self.dispatch.report(agent, &[], load(0), u64::MAX, now_ms);
+            self.dispatch.handle_report(agent, &[], load(0), u64::MAX, now_ms);
         }
         self.dispatch.tick(now_ms);
     }
 
-    fn placements(&mut self) -> Vec<(AgentKey, Placement)> {
+    fn placements(&mut self) -> Vec<(AgentKey, StepPlacement)> {
         let placed =
             self.dispatch.take_commands().into_iter().filter_map(|command| match command {
                 Command::Place(agent, placement) => Some((agent, placement)),
@@ -166,7 +167,7 @@
 }
 
 #[test]
-fn what_was_sent_counts_until_the_agent_has_heard_it() {
+fn placements_count_until_the_agent_has_received_them() {
     let (mut site, agents) = Site::new(&[0, 0]);
     site.submit(job(1, vec![step(1)]));
     let (first, placement) = site.placements().remove(0);
@@ -174,9 +175,9 @@
     site.submit(job(2, vec![step(1)]));
     let (second, _) = site.placements().remove(0);
     assert_ne!(first, second);
-    // Heard, and its load shows nothing taken: the task has ended.
-    site.dispatch.report(first, &[], load(0), 1, site.now_ms);
-    site.dispatch.report(second, &[], load(3_000), 0, site.now_ms);
+    // The agent has received the placement, and its load shows nothing taken: the task has ended.
+    site.dispatch.handle_report(first, &[], load(0), 1, site.now_ms);
+    site.dispatch.handle_report(second, &[], load(3_000), 0, site.now_ms);
     site.submit(job(3, vec![step(1)]));
     assert_eq!(site.placements()[0].0, first);
     assert!(agents.contains(&first));
@@ -189,7 +190,7 @@
     site.tell(agents[0], task(1, 0, 0), 1, done());
     assert!(site.answers().is_empty());
     site.tell(agents[0], task(1, 0, 0), 1, done());
-    assert!(site.answers().is_empty(), "a report told twice counts once");
+    assert!(site.answers().is_empty(), "a repeated report counts once");
     site.tell(agents[0], task(1, 0, 1), 1, done());
     assert_eq!(site.answers(), [JobAnswer::Completed]);
     assert_eq!(site.dispatch.job_count(), 0);
@@ -238,23 +239,23 @@
 }
 
 #[test]
-fn not_run_is_said_only_when_no_task_began() {
+fn not_run_is_answered_only_if_no_task_started() {
     let (mut site, agents) = Site::new(&[0]);
     let key = site.submit(job(1, vec![step(1)]));
     site.dispatch.take_commands();
     site.dispatch.cancel(key);
-    assert_eq!(site.dispatch.take_commands(), [Command::Stop(agents[0], CallerId(1))]);
+    assert_eq!(site.dispatch.take_commands(), [Command::Stop(agents[0], CallerJobId(1))]);
     let withdrawn = RunEvent::NotStarted(NotStarted::Withdrawn);
     site.tell(agents[0], task(1, 0, 0), 1, withdrawn);
     let answer = site.answers().remove(0);
-    assert!(matches!(answer, JobAnswer::NotRun { why: GiveUp::Cancelled, .. }));
+    assert!(matches!(answer, JobAnswer::NotRun { reason: NoResultReason::Cancelled, .. }));
 
     let key = site.submit(job(2, vec![step(1)]));
     site.dispatch.cancel(key);
     site.dispatch.take_commands();
     site.tell(agents[0], task(2, 0, 0), 1, RunEvent::Started);
     site.tell(agents[0], task(2, 0, 0), 1, RunEvent::Stopped);
-    assert_eq!(site.answers(), [JobAnswer::Unknown { why: GiveUp::Cancelled }]);
+    assert_eq!(site.answers(), [JobAnswer::Unknown { reason: NoResultReason::Cancelled }]);
 }
 
 #[test]
@@ -262,16 +263,16 @@
     let (mut site, agents) = Site::new(&[9_000]);
     let waiting =
         UpstreamLoad { waiting: 90, waiting_milli_ms: [30_000_000, 0, 0, 0], ..load(9_000) };
-    site.dispatch.report(agents[0], &[], waiting, 0, site.now_ms);
+    site.dispatch.handle_report(agents[0], &[], waiting, 0, site.now_ms);
     let answer = site.refuse(job(1, vec![step(1)]));
-    let JobAnswer::NotRun { why: GiveUp::Overload, retry_after_ms } = answer else {
+    let JobAnswer::NotRun { reason: NoResultReason::Overload, retry_after_ms } = answer else {
         panic!("{answer:?}");
     };
     assert!((2_500..3_500).contains(&retry_after_ms), "{retry_after_ms}");
 }
 
-/// Twice the load that two upstreams can run, of jobs in time within 210 ms. What
-/// cannot be in time is refused: the upstreams would be late for all.
+/// Offers twice the load that two upstreams can run, of jobs that are on time within 210 ms. Jobs
+/// that cannot be on time are refused; otherwise all jobs would be late.
 #[test]
 fn under_twice_the_load_the_rest_is_refused_at_once() {
     let (mut site, agents) = Site::new(&[0, 0]);
@@ -283,12 +284,12 @@
     let mut taken = 0;
     for number in 0..200_u32 {
         for &agent in &agents {
-            site.dispatch.report(agent, &[], full(number / 4), 0, site.now_ms);
+            site.dispatch.handle_report(agent, &[], full(number / 4), 0, site.now_ms);
         }
         taken += u32::from(site.dispatch.submit(job(number.into(), vec![step(2)]), 100).is_ok());
     }
-    // An upstream runs 300 core-milliseconds a task, ten cores: 33 tasks a second.
-    // Beyond 3 waiting ones a task would end after 210 ms.
+    // A task takes 300 core-milliseconds of an upstream with ten cores: 33 tasks a second. With
+    // more than 3 waiting tasks, a further one would end after 210 ms.
     assert!((12..=16).contains(&taken), "{taken}");
     site.now_ms = 100 + 315;
     site.dispatch.tick(site.now_ms);
@@ -305,20 +306,20 @@
     assert_eq!(site.refuse(job(1, vec![huge])), JobAnswer::Failed);
 }
 
-/// Without any upstream a job takes nobody's room: it waits as long as its result is of
-/// use, and not a moment longer.
+/// A job without any upstream takes room from nobody: it waits exactly as long as its result is
+/// useful.
 #[test]
 fn a_job_waits_for_an_upstream_as_long_as_its_result_is_of_use() {
     let (mut site, _) = Site::new(&[]);
     site.submit(job(1, vec![step(1)]));
-    // In time within 1.5 x 100 + 60 ms, of use within three times as much.
+    // On time within 1.5 x 100 + 60 ms, useful within three times as much.
     site.now_ms = 100 + 630 - 100;
     site.dispatch.tick(site.now_ms);
     assert!(site.answers().is_empty());
     site.now_ms += 1;
     site.dispatch.tick(site.now_ms);
     let answer = site.answers().remove(0);
-    assert!(matches!(answer, JobAnswer::NotRun { why: GiveUp::NoUpstream, .. }));
+    assert!(matches!(answer, JobAnswer::NotRun { reason: NoResultReason::NoUpstream, .. }));
 }
 
 #[test]
@@ -326,46 +327,49 @@
     let (mut site, agents) = Site::new(&[0]);
     site.submit(job(1, vec![step(1)]));
     site.tell(agents[0], task(1, 0, 0), 1, RunEvent::NotStarted(NotStarted::NoRoom));
-    site.dispatch.report(agents[0], &[], load(10_000), 0, site.now_ms);
+    site.dispatch.handle_report(agents[0], &[], load(10_000), 0, site.now_ms);
     site.now_ms = 100 + 315;
-    site.dispatch.report(agents[0], &[], load(10_000), 0, site.now_ms);
+    site.dispatch.handle_report(agents[0], &[], load(10_000), 0, site.now_ms);
     site.dispatch.tick(site.now_ms);
     let stopped = site.dispatch.take_commands();
     let is_stop = |command: &Command| matches!(command, Command::Stop(..));
     assert!(stopped.iter().any(is_stop), "{stopped:?}");
 }
 
-/// An entry that was started after an outage takes what waited for it, late or not, as
+/// An entry that starts after an outage accepts the jobs that waited for it, even late ones, as
 /// long as upstreams are free.
 #[test]
 fn a_job_that_was_held_up_runs_late_on_free_upstreams() {
     let (mut site, agents) = Site::new(&[0]);
     site.now_ms = 100 + 400;
-    site.dispatch.report(agents[0], &[], load(0), 0, site.now_ms);
+    site.dispatch.handle_report(agents[0], &[], load(0), 0, site.now_ms);
     site.submit(job(1, vec![step(1)]));
     assert_eq!(site.placements().len(), 1);
     site.tell(agents[0], task(1, 0, 0), 1, done());
     assert_eq!(site.answers(), [JobAnswer::Completed]);
 }
 
-/// Agents connect before their upstreams are announced: for the first one that is usable
-/// all that waited would seem too much, and be refused.
+/// Agents connect before their upstreams are announced. Judged by the first usable upstream
+/// alone, all waiting jobs would seem too much and be refused.
 #[test]
 fn nothing_is_refused_for_load_while_most_upstreams_are_about_to_come() {
     let (mut site, agents) = Site::new(&[0]);
     let waiting_milli_ms = [4_000_000, 0, 0, 0];
     let full = UpstreamLoad { waiting_milli_ms, waiting: 40, ..load(10_000) };
-    site.dispatch.report(agents[0], &[], full, 0, site.now_ms);
+    site.dispatch.handle_report(agents[0], &[], full, 0, site.now_ms);
     let unusable = UpstreamLoad { usable: false, ..load(0) };
     (1..4).for_each(|number| {
         site.connect(&format!("coming-{number}"), 1, unusable);
     });
     site.submit(job(1, vec![step(2)]));
-    // Those that are not usable two seconds later are not counted on.
+    // Agents that are not usable after two seconds are no longer expected.
     site.now_ms += 2_000;
     site.connect("agent-0", 1, full);
     let late = JobRequest { arrived_ms: site.now_ms, deadline_ms: 9_000, ..job(9, vec![step(2)]) };
-    assert!(matches!(site.refuse(late), JobAnswer::NotRun { why: GiveUp::Overload, .. }));
+    assert!(matches!(
+        site.refuse(late),
+        JobAnswer::NotRun { reason: NoResultReason::Overload, .. }
+    ));
 }
 
 #[test]
@@ -382,7 +386,7 @@
     site.dispatch.tick(site.now_ms);
     assert!(site.placements().is_empty());
     site.dispatch.agent_ready(other, site.now_ms);
-    site.dispatch.report(other, &[], load(0), 0, site.now_ms);
+    site.dispatch.handle_report(other, &[], load(0), 0, site.now_ms);
     site.now_ms = 100 + 1_500;
     site.dispatch.tick(site.now_ms);
     let (agent, placement) = site.placements().remove(0);
@@ -400,7 +404,7 @@
     site.dispatch.agent_disconnected(agents[0]);
     site.dispatch.agent_connected(name, Incarnation(1), Some(&held), site.now_ms);
     site.dispatch.agent_ready(agents[0], site.now_ms);
-    site.dispatch.report(agents[0], &[], load(0), 0, site.now_ms);
+    site.dispatch.handle_report(agents[0], &[], load(0), 0, site.now_ms);
     let (_, placement) = site.placements().remove(0);
     assert_eq!((placement.tasks[0].index, placement.tasks[0].run), (1, 2));
 }
@@ -413,9 +417,9 @@
     site.dispatch.agent_connected("agent-0", Incarnation(2), None, site.now_ms);
     site.dispatch.agent_ready(agents[0], site.now_ms);
     let unclean = UpstreamLoad { usable: false, ..load(0) };
-    site.dispatch.report(agents[0], &[], unclean, 0, site.now_ms);
+    site.dispatch.handle_report(agents[0], &[], unclean, 0, site.now_ms);
     assert!(site.placements().is_empty());
-    site.dispatch.report(agents[0], &[], load(0), 0, site.now_ms);
+    site.dispatch.handle_report(agents[0], &[], load(0), 0, site.now_ms);
     assert_eq!(site.placements()[0].1.tasks[0].run, 2);
 }
 
@@ -434,14 +438,14 @@
     let (mut site, _) = Site::new(&[0]);
     site.submit(job(1, vec![step(1)]));
     let answer = site.refuse(job(1, vec![step(1)]));
-    assert_eq!(answer, JobAnswer::Unknown { why: GiveUp::Duplicate });
+    assert_eq!(answer, JobAnswer::Unknown { reason: NoResultReason::Duplicate });
 }
 
 #[test]
-fn labels_and_counts_by_upstream_bind() {
+fn labels_and_limits_per_upstream_are_kept() {
     let (mut site, agents) = Site::new(&[0, 0, 0]);
-    site.dispatch.set_life(agents[0], life(&["b"]));
-    site.dispatch.set_life(agents[1], life(&["b"]));
+    site.dispatch.set_instance(agents[0], life(&["b"]));
+    site.dispatch.set_instance(agents[1], life(&["b"]));
     let bound =
         StepRequest { required_label: Some("b".to_owned()), max_per_upstream: Some(2), ..step(5) };
     site.submit(job(1, vec![bound]));
@@ -458,21 +462,21 @@
     let (mut site, agents) = Site::new(&[0, 0, 3_000]);
     let failing = UpstreamLoad { failing_percent: 60, ..load(0) };
     let slow = UpstreamLoad { slowness_percent: 400, ..load(0) };
-    site.dispatch.report(agents[0], &[], failing, 0, site.now_ms);
-    site.dispatch.report(agents[1], &[], slow, 0, site.now_ms);
+    site.dispatch.handle_report(agents[0], &[], failing, 0, site.now_ms);
+    site.dispatch.handle_report(agents[1], &[], slow, 0, site.now_ms);
     site.submit(job(1, vec![step(1)]));
     assert_eq!(site.placements()[0].0, agents[2]);
 }
 
-/// An upstream that was slow after its start got as much as the others.
+/// A cold upstream must not get as many tasks as the others.
 #[test]
-fn a_cold_upstream_gets_what_others_would_keep_waiting() {
+fn a_cold_upstream_gets_tasks_that_would_wait_elsewhere() {
     let (mut site, agents) = Site::new(&[0, 6_000]);
     site.dispatch.set_cold(agents[0], 3_000, site.now_ms);
     site.submit(job(1, vec![step(1)]));
     assert_eq!(site.placements()[0].0, agents[1]);
     let full = UpstreamLoad { waiting_milli_ms: [10_000_000, 0, 0, 0], ..load(10_000) };
-    site.dispatch.report(agents[1], &[], full, 0, site.now_ms);
+    site.dispatch.handle_report(agents[1], &[], full, 0, site.now_ms);
     site.submit(job(2, vec![step(1)]));
     assert_eq!(site.placements()[0].0, agents[0]);
 }
@@ -484,7 +488,7 @@
         site.dispatch.set_cold(agents[0], 500, site.now_ms);
         until_warm(&mut site, agents[0], &agents);
         let full = load(9_000);
-        site.dispatch.report(agents[1], &[], full, u64::MAX, site.now_ms);
+        site.dispatch.handle_report(agents[1], &[], full, u64::MAX, site.now_ms);
         site.submit(job(1, vec![step(1)]));
         site.placements()[0].0 == agents[0]
     };
@@ -492,9 +496,9 @@
     assert!(placed_at(&|site, cold, _| site.dispatch.set_cold(cold, 0, site.now_ms)));
 }
 
-/// Where all upstreams are cold, as after a loss of power, jobs are taken as ever.
+/// If all upstreams are cold, for example after a power failure, jobs are accepted as usual.
 #[test]
-fn cold_upstreams_refuse_nobody() {
+fn cold_upstreams_do_not_cause_refusals() {
     let (mut site, agents) = Site::new(&[0, 0]);
     agents.iter().for_each(|&agent| site.dispatch.set_cold(agent, 3_000, site.now_ms));
     site.submit(job(1, vec![step(6)]));
@@ -502,7 +506,7 @@
     assert_eq!(placed, 6);
 }
 
-/// A job of which a task began is finished as long as its result is of use.
+/// A job with a started task is finished as long as its result is useful.
 #[test]
 fn a_job_that_began_is_finished_late() {
     let (mut site, agents) = Site::new(&[0]);
@@ -517,22 +521,22 @@
     assert_eq!((placement.tasks[0].index, placement.give_up_in_ms), (1, 100));
 }
 
-/// The shortest wait is told by what is as urgent, not by all that waits.
+/// The wait is estimated from tasks that are at least as urgent, not from all waiting tasks.
 #[test]
 fn an_urgent_task_goes_where_only_less_urgent_ones_wait() {
     let (mut site, agents) = Site::new(&[9_000, 9_000]);
     let urgent = UpstreamLoad { waiting: 2, waiting_milli_ms: [600_000, 0, 0, 0], ..load(9_000) };
     let others = UpstreamLoad { waiting: 9, waiting_milli_ms: [0, 0, 2_700_000, 0], ..load(9_000) };
-    site.dispatch.report(agents[0], &[], urgent, 0, site.now_ms);
-    site.dispatch.report(agents[1], &[], others, 0, site.now_ms);
+    site.dispatch.handle_report(agents[0], &[], urgent, 0, site.now_ms);
+    site.dispatch.handle_report(agents[1], &[], others, 0, site.now_ms);
     site.submit(job(1, vec![step(1)]));
     assert_eq!(site.placements()[0].0, agents[1]);
 }
 
-/// Run times are off by 40 %: tasks queue at one upstream while another has room
-/// again. Half of that room is used for what waits elsewhere.
+/// Run times are off by 40 %, so tasks queue at one upstream while another has room again. Half
+/// of that room is used for tasks that wait elsewhere.
 #[test]
-fn tasks_that_wait_are_asked_back_for_room_elsewhere() {
+fn waiting_tasks_are_recalled_for_room_elsewhere() {
     let (mut site, agents) = Site::new(&[0, 9_000]);
     site.submit(job(1, vec![step(6)]));
     let placed = site.placements();
@@ -540,14 +544,14 @@
         placed.iter().any(|(agent, placement)| *agent == agents[0] && placement.tasks.len() > 3)
     );
     let waiting = UpstreamLoad { waiting: 3, waiting_milli_ms: [900_000, 0, 0, 0], ..load(9_000) };
-    site.dispatch.report(agents[0], &[], waiting, 9, site.now_ms);
+    site.dispatch.handle_report(agents[0], &[], waiting, 9, site.now_ms);
     site.now_ms += 20;
-    site.dispatch.report(agents[1], &[], load(0), 9, site.now_ms);
+    site.dispatch.handle_report(agents[1], &[], load(0), 9, site.now_ms);
     let recalls: Vec<_> = site.dispatch.take_commands();
     let [Command::Withdraw(at, tasks)] = &recalls[..] else { panic!("{recalls:?}") };
     assert_eq!((*at, tasks.len()), (agents[0], 1));
     let task = tasks[0];
-    site.dispatch.report(agents[1], &[], load(0), 9, site.now_ms);
+    site.dispatch.handle_report(agents[1], &[], load(0), 9, site.now_ms);
     let again = site.dispatch.take_commands();
     assert!(
         !again
@@ -556,14 +560,14 @@
     );
     let back = RunEvent::NotStarted(NotStarted::Withdrawn);
     let report = RunReport { number: 1, task, run: 1, event: back };
-    site.dispatch.report(agents[0], &[report], waiting, 9, site.now_ms);
+    site.dispatch.handle_report(agents[0], &[report], waiting, 9, site.now_ms);
     assert_eq!(site.placements()[0].0, agents[1]);
 }
 
-/// Several entries claim the same room. A task that was asked back and waits again
-/// is left where it is for twice as long each time.
+/// Several entries claim the same room. A task that was recalled and waits again is left in place
+/// for twice as long each time.
 #[test]
-fn a_task_that_is_asked_back_again_and_again_comes_to_rest() {
+fn the_wait_before_a_recall_doubles_each_time() {
     let (mut site, agents) = Site::new(&[0, 0]);
     let waiting = UpstreamLoad { waiting: 3, waiting_milli_ms: [900_000, 0, 0, 0], ..load(9_000) };
     site.submit(job(1, vec![step(1)]));
@@ -575,8 +579,8 @@
         for agent in [at, other] {
             site.dispatch.agent_ready(agent, site.now_ms);
         }
-        site.dispatch.report(at, &[], waiting, 9, site.now_ms);
-        site.dispatch.report(other, &[], load(0), 9, site.now_ms);
+        site.dispatch.handle_report(at, &[], waiting, 9, site.now_ms);
+        site.dispatch.handle_report(other, &[], load(0), 9, site.now_ms);
         let commands = site.dispatch.take_commands();
         if commands.iter().any(|command| matches!(command, Command::Withdraw(..))) {
             recalls += 1;
@@ -588,34 +592,35 @@
     assert_eq!(recalls, 4, "after 15, 45, 105 and 225 ms of 400");
 }
 
-/// Jobs that can never be done fail on every upstream. Others are not refused for it.
+/// Jobs that can never succeed fail on every upstream. Other jobs must not be refused because of
+/// them.
 #[test]
-fn failures_everywhere_refuse_nobody() {
+fn failures_on_all_upstreams_do_not_cause_refusals() {
     let (mut site, agents) = Site::new(&[0, 0]);
     for &agent in &agents {
         let failing = UpstreamLoad { failing_percent: 60, ..load(0) };
-        site.dispatch.report(agent, &[], failing, 0, site.now_ms);
+        site.dispatch.handle_report(agent, &[], failing, 0, site.now_ms);
     }
     site.submit(job(1, vec![step(4)]));
     let placed: usize = site.placements().iter().map(|(_, sent)| sent.tasks.len()).sum();
     assert_eq!(placed, 4);
 }
 
-/// Two failures of eight runs come from the jobs as well as from the upstream. They
-/// are no reason to queue elsewhere.
+/// Two failures among eight runs may be due to the jobs as well as to the upstream. They are no
+/// reason to queue at another upstream.
 #[test]
 fn a_few_failures_do_not_outweigh_a_queue() {
     let (mut site, agents) = Site::new(&[0, 9_000]);
     let some = UpstreamLoad { failing_percent: 25, ..load(0) };
     let queue = UpstreamLoad { waiting: 3, waiting_milli_ms: [900_000, 0, 0, 0], ..load(9_000) };
-    site.dispatch.report(agents[0], &[], some, 0, site.now_ms);
-    site.dispatch.report(agents[1], &[], queue, 0, site.now_ms);
+    site.dispatch.handle_report(agents[0], &[], some, 0, site.now_ms);
+    site.dispatch.handle_report(agents[1], &[], queue, 0, site.now_ms);
     site.submit(job(1, vec![step(1)]));
     assert_eq!(site.placements()[0].0, agents[0]);
 }
 
-/// A burst of short jobs, each of several tasks: what all of them wait for is the
-/// last one, so that one free place says little.
+/// In a burst of short jobs with several tasks each, a job waits for its last task, so one free
+/// place is not enough.
 #[test]
 fn a_job_is_refused_when_its_last_task_cannot_be_in_time() {
     let (mut site, agents) = Site::new(&[0]);
@@ -625,18 +630,21 @@
         running_milli_ms: 450_000,
         ..load(9_000)
     };
-    site.dispatch.report(agents[0], &[], waiting, 0, site.now_ms);
+    site.dispatch.handle_report(agents[0], &[], waiting, 0, site.now_ms);
     let answer = site.refuse(job(1, vec![step(4)]));
-    assert!(matches!(answer, JobAnswer::NotRun { why: GiveUp::Overload, .. }), "{answer:?}");
+    assert!(
+        matches!(answer, JobAnswer::NotRun { reason: NoResultReason::Overload, .. }),
+        "{answer:?}"
+    );
     site.submit(job(2, vec![step(1)]));
-    // 900 before it, a third of 450 until its room is there, over ten cores.
+    // 900 of waiting work plus a third of 450 until there is room, divided by ten cores.
     let forecast = site.dispatch.last_forecast();
     assert_eq!((forecast.wait_ms, forecast.end_in_ms, forecast.late_ms), (106, 206, 0));
 }
 
-/// Jobs of a burst end later than forecast, as more urgent ones overtake them: after a
-/// few the forecast takes that in. It is forgotten within seconds, and where there is
-/// free room nothing is refused for it.
+/// Jobs of a burst end later than forecast because more urgent ones overtake them. The forecast
+/// learns this after a few jobs and forgets it within seconds. No job is refused for it while
+/// there is free room.
 #[test]
 fn forecasts_learn_how_late_jobs_end() {
     let (mut site, agents) = Site::new(&[0]);
@@ -644,11 +652,11 @@
     let ask = |site: &mut Site, id: u64, load: UpstreamLoad| {
         let (arrived_ms, deadline_ms) = (site.now_ms, site.now_ms + 2_000);
         site.dispatch.agent_ready(agents[0], site.now_ms);
-        site.dispatch.report(agents[0], &[], load, 0, site.now_ms);
+        site.dispatch.handle_report(agents[0], &[], load, 0, site.now_ms);
         let request = JobRequest { arrived_ms, deadline_ms, ..job(id, vec![step(1)]) };
         site.dispatch.submit(request, site.now_ms)
     };
-    // Forecast for 161 ms, to be in time within 210.
+    // Forecast for 161 ms, on time within 210 ms.
     let mut taken = 0;
     let refused = loop {
         match ask(&mut site, taken, busy) {
@@ -658,15 +666,18 @@
         site.tell(agents[0], task(taken, 0, 0), 1, done());
         taken += 1;
     };
-    assert!(matches!(refused, JobAnswer::NotRun { why: GiveUp::Overload, .. }), "{refused:?}");
+    assert!(
+        matches!(refused, JobAnswer::NotRun { reason: NoResultReason::Overload, .. }),
+        "{refused:?}"
+    );
     assert!((3..=16).contains(&taken), "{taken}");
     assert!(ask(&mut site, 100, load(0)).is_ok());
     site.now_ms += 4_000;
     assert!(ask(&mut site, 101, busy).is_ok());
 }
 
-/// At 1.8 times the usual load one short job in ten was given up with three quarters
-/// of its tasks done.
+/// Guards against giving up jobs with most of their tasks done: at 1.8 times the usual load this
+/// happened to one short job in ten.
 #[test]
 fn the_last_tasks_of_a_job_that_has_begun_are_finished() {
     let (mut site, agents) = Site::new(&[0]);
@@ -676,23 +687,26 @@
         site.now_ms += 20;
         site.dispatch.tick(site.now_ms);
         let commands = site.dispatch.take_commands().into_iter();
-        commands.filter(|command| matches!(command, Command::Finish(..))).collect::<Vec<_>>()
+        commands
+            .filter(|command| matches!(command, Command::JobMostlyStarted(..)))
+            .collect::<Vec<_>>()
     };
     site.tell(agents[0], task(1, 0, 0), 1, RunEvent::Started);
     assert_eq!(finish(&mut site), []);
     site.tell(agents[0], task(1, 0, 1), 1, RunEvent::Started);
-    // It is given up 630 ms after it came, by 100 + 630.
-    let told = Command::Finish(agents[0], CallerId(1), 630 - 40);
+    // The job is given up 630 ms after it arrived, at 100 + 630 ms.
+    let told = Command::JobMostlyStarted(agents[0], CallerJobId(1), 630 - 40);
     assert_eq!(finish(&mut site), [told]);
     assert_eq!(finish(&mut site), [], "once");
-    // What comes back is placed as the last of its job.
+    // A returned task is placed as one of the last of its job.
     site.tell(agents[0], task(1, 0, 2), 1, RunEvent::NotStarted(NotStarted::Refused));
-    assert!(site.placements()[0].1.finishing);
+    assert!(site.placements()[0].1.job_mostly_started);
 }
 
-/// A copy of a job that ran for another entry was placed at its agent every millisecond.
+/// Guards against a copy of a job that runs for another entry being placed at its agent every
+/// millisecond.
 #[test]
-fn a_task_that_is_refused_again_and_again_rests() {
+fn a_task_that_is_refused_repeatedly_pauses() {
     let (mut site, agents) = Site::new(&[0]);
     site.submit(job(1, vec![step(1)]));
     let refused = RunEvent::NotStarted(NotStarted::Refused);
@@ -707,9 +721,10 @@
     assert_eq!(placed, [100, 101, 151, 201, 251, 301]);
 }
 
-/// A stop was lost with its connection: the task ran on beside a copy of its job.
+/// Guards against a task that keeps running beside a copy of its job, because its stop was lost
+/// with the connection.
 #[test]
-fn what_is_over_is_stopped_again_on_a_new_connection() {
+fn ended_jobs_are_stopped_again_on_a_new_connection() {
     let (mut site, agents) = Site::new(&[0]);
     let held = [(task(1, 0, 0), 1)];
     let key = site.submit(job(1, vec![step(1)]));
@@ -721,138 +736,151 @@
         site.dispatch.agent_ready(agents[0], site.now_ms);
         site.dispatch.take_commands()
     };
-    let stop = Command::Stop(agents[0], CallerId(1));
-    assert_eq!(connect(&mut site), [], "it is not over");
+    let stop = Command::Stop(agents[0], CallerJobId(1));
+    assert_eq!(connect(&mut site), [], "the job is still open");
     site.dispatch.cancel(key);
-    assert_eq!(connect(&mut site), std::slice::from_ref(&stop), "it is being ended");
+    assert_eq!(connect(&mut site), std::slice::from_ref(&stop), "the job is being ended");
     site.tell(agents[0], task(1, 0, 0), 1, RunEvent::Lost);
-    assert_eq!(connect(&mut site), [stop], "it was answered");
+    assert_eq!(connect(&mut site), [stop], "the job was answered");
 }
 
 #[test]
-fn a_refusal_without_a_forecast_does_not_tell_that_of_another_job() {
+fn a_refusal_without_a_forecast_does_not_report_that_of_another_job() {
     let (mut site, _) = Site::new(&[0]);
     site.submit(job(1, vec![step(1)]));
     assert_eq!(site.dispatch.last_forecast().end_in_ms, 100);
-    // One of the same id is refused before its forecast.
+    // A job with the same id is refused before its forecast.
     site.refuse(job(1, vec![step(1)]));
     assert_eq!(site.dispatch.last_forecast().end_in_ms, 0);
 }
 
-/// An entry that stops refuses only what may not end before it does.
+/// An entry that stops refuses only jobs that may not end before it does.
 #[test]
-fn an_entry_that_stops_takes_what_surely_ends_by_then() {
+fn a_stopping_entry_accepts_jobs_that_end_before_the_stop() {
     let (mut site, _) = Site::new(&[0, 0]);
-    site.dispatch.stop_by(site.now_ms + 250);
+    site.dispatch.plan_stop(site.now_ms + 250);
     site.submit(job(1, vec![step(1)]));
     site.now_ms += 100;
     let late = JobRequest { arrived_ms: site.now_ms, ..job(2, vec![step(1)]) };
     let refused = site.refuse(late);
-    assert!(matches!(refused, JobAnswer::NotRun { why: GiveUp::Stopping, .. }), "{refused:?}");
+    assert!(
+        matches!(refused, JobAnswer::NotRun { reason: NoResultReason::Stopping, .. }),
+        "{refused:?}"
+    );
 }
 
-/// One job after the other takes so many times its forecast of 100 ms.
+/// Runs jobs one after the other, each for this many times its forecast of 100 ms.
 fn jobs_take(site: &mut Site, agent: AgentKey, jobs: std::ops::Range<u64>, times: u64) {
     for id in jobs {
         site.tick_at(site.now_ms, &[agent]);
         let (arrived_ms, deadline_ms) = (site.now_ms, site.now_ms + 60_000);
         site.submit(JobRequest { arrived_ms, deadline_ms, ..job(id, vec![step(1)]) });
         site.now_ms += 100 * times;
-        // The run itself is as long as expected.
+        // The run itself takes as long as expected.
         site.tell(agent, task(id, 0, 0), 1, done());
     }
 }
 
-/// Where one job in ten took twice its forecast, jobs were taken that could not end in time.
+/// Guards against accepting jobs that cannot end before the stop when one job in ten takes twice
+/// its forecast.
 #[test]
-fn an_entry_that_stops_knows_how_long_jobs_take() {
+fn a_stopping_entry_learns_how_long_jobs_take() {
     let (mut site, agents) = Site::new(&[0]);
     let ask = |site: &mut Site, id, left_ms| {
-        site.dispatch.stop_by(site.now_ms + left_ms);
+        site.dispatch.plan_stop(site.now_ms + left_ms);
         let (arrived_ms, deadline_ms) = (site.now_ms, site.now_ms + 60_000);
         let request = JobRequest { arrived_ms, deadline_ms, ..job(id, vec![step(1)]) };
         site.dispatch.submit(request, site.now_ms)
     };
     jobs_take(&mut site, agents[0], 0..40, 3);
     let refused = ask(&mut site, 1_000, 290).unwrap_err();
-    assert!(matches!(refused, JobAnswer::NotRun { why: GiveUp::Stopping, .. }), "{refused:?}");
+    assert!(
+        matches!(refused, JobAnswer::NotRun { reason: NoResultReason::Stopping, .. }),
+        "{refused:?}"
+    );
     assert!(ask(&mut site, 1_001, 400).is_ok());
-    // Stops are not planned any more, and jobs are as quick as expected.
-    site.dispatch.stop_by(u64::MAX);
+    // No stop is planned any more, and jobs are as quick as expected.
+    site.dispatch.plan_stop(u64::MAX);
     jobs_take(&mut site, agents[0], 2_000..2_400, 1);
     assert!(ask(&mut site, 3_000, 160).is_ok());
 }
 
-/// Only the first step is placed, and forecast, as a job comes.
+/// Only the first step is placed and forecast when a job arrives.
 #[test]
-fn an_entry_that_stops_counts_the_steps_to_come() {
+fn a_stopping_entry_counts_later_steps() {
     let (mut site, _) = Site::new(&[0, 0]);
-    site.dispatch.stop_by(site.now_ms + 300);
+    site.dispatch.plan_stop(site.now_ms + 300);
     site.submit(job(1, vec![step(1)]));
     let then = StepRequest { after: vec![0], ..step(1) };
     let refused = site.refuse(job(2, vec![step(1), then]));
-    assert!(matches!(refused, JobAnswer::NotRun { why: GiveUp::Stopping, .. }), "{refused:?}");
+    assert!(
+        matches!(refused, JobAnswer::NotRun { reason: NoResultReason::Stopping, .. }),
+        "{refused:?}"
+    );
 }
 
-/// Without an upstream the forecast is 0, which is not how long the job takes.
+/// Without an upstream the forecast is 0, which is not the duration of the job.
 #[test]
-fn an_entry_that_stops_without_upstreams_counts_run_times() {
+fn a_stopping_entry_without_upstreams_counts_run_times() {
     let (mut site, _) = Site::new(&[]);
-    site.dispatch.stop_by(site.now_ms + 150);
+    site.dispatch.plan_stop(site.now_ms + 150);
     let refused = site.refuse(job(1, vec![step(1)]));
-    assert!(matches!(refused, JobAnswer::NotRun { why: GiveUp::Stopping, .. }), "{refused:?}");
+    assert!(
+        matches!(refused, JobAnswer::NotRun { reason: NoResultReason::Stopping, .. }),
+        "{refused:?}"
+    );
 }
 
-/// A job that takes longer than was expected of it must not be left without an answer.
+/// A job that runs longer than expected must still be answered.
 #[test]
-fn an_entry_that_stops_answers_what_runs_longer_than_expected() {
+fn a_stopping_entry_answers_jobs_that_run_longer_than_expected() {
     let (mut site, agents) = Site::new(&[0]);
     site.submit(job(1, vec![step(1)]));
     site.tell(agents[0], task(1, 0, 0), 1, RunEvent::Started);
     site.dispatch.take_commands();
     let stops_ms = site.now_ms + 250;
-    site.dispatch.stop_by(stops_ms);
+    site.dispatch.plan_stop(stops_ms);
     site.tick_at(stops_ms - 1, &agents);
     assert_eq!(site.dispatch.take_commands(), [], "it may end in time");
     site.tick_at(stops_ms, &agents);
-    let stop = Command::Stop(agents[0], CallerId(1));
+    let stop = Command::Stop(agents[0], CallerJobId(1));
     assert_eq!(site.dispatch.take_commands(), [stop]);
     site.tell(agents[0], task(1, 0, 0), 1, RunEvent::Stopped);
-    assert_eq!(site.answers(), [JobAnswer::Unknown { why: GiveUp::Stopping }]);
+    assert_eq!(site.answers(), [JobAnswer::Unknown { reason: NoResultReason::Stopping }]);
 }
 
-/// An agent that cannot be reached must not hold an answer back beyond the stop.
+/// An unreachable agent must not delay an answer beyond the stop.
 #[test]
-fn an_entry_that_stops_answers_without_the_word_of_an_agent() {
+fn a_stopping_entry_answers_without_a_report_of_the_agent() {
     let (mut site, agents) = Site::new(&[0]);
     site.submit(job(1, vec![step(1)]));
     let stops_ms = site.now_ms + 250;
-    site.dispatch.stop_by(stops_ms);
+    site.dispatch.plan_stop(stops_ms);
     site.tick_at(stops_ms, &agents);
     assert_eq!(site.answers(), []);
     site.tick_at(stops_ms + STOP_ANSWER_MS, &agents);
-    // Whether the task began is not known.
-    assert_eq!(site.answers(), [JobAnswer::Unknown { why: GiveUp::Stopping }]);
+    // It is unknown whether the task started.
+    assert_eq!(site.answers(), [JobAnswer::Unknown { reason: NoResultReason::Stopping }]);
     assert_eq!(site.dispatch.job_count(), 0);
 }
 
-/// Of what only waits nothing has run, and its caller is told so.
+/// Jobs that only wait have not run, and their callers are told so.
 #[test]
-fn an_entry_that_stops_refuses_what_has_not_begun() {
+fn a_stopping_entry_answers_not_run_for_unstarted_jobs() {
     let (mut site, agents) = Site::new(&[0]);
     site.submit(job(1, vec![step(1)]));
-    site.dispatch.stop_by(site.now_ms + 250);
+    site.dispatch.plan_stop(site.now_ms + 250);
     site.tick_at(site.now_ms + 250, &agents);
     let withdrawn = RunEvent::NotStarted(NotStarted::Withdrawn);
     site.tell(agents[0], task(1, 0, 0), 1, withdrawn);
     let answers = site.answers();
     assert!(
-        matches!(answers[..], [JobAnswer::NotRun { why: GiveUp::Stopping, .. }]),
+        matches!(answers[..], [JobAnswer::NotRun { reason: NoResultReason::Stopping, .. }]),
         "{answers:?}"
     );
 }
 
-/// Its last task runs on an upstream that is far too slow; nobody else waits for that room.
+/// The last task runs on an upstream that is far too slow, and no other job waits for its room.
 #[test]
 fn a_job_whose_tasks_all_run_is_finished_for_as_long_as_its_caller_waits() {
     let (mut site, agents) = Site::new(&[0, 0]);
@@ -862,7 +890,7 @@
             site.tell(agent, task(1, 0, start.index), 1, RunEvent::Started);
         }
     }
-    // Three times the span of 210 ms has passed long ago; the caller waits until 2,100 ms.
+    // Three times the objective span of 210 ms has long passed; the caller waits until 2,100 ms.
     site.tick_at(2_000, &agents);
     assert_eq!(site.answers(), []);
     site.tick_at(2_100, &agents);
@@ -870,7 +898,7 @@
     assert!(stopped.iter().any(|command| matches!(command, Command::Stop(..))), "{stopped:?}");
 }
 
-/// An answer that is ready is delivered, also while the job is being given up.
+/// A result that is ready is delivered even while the job is being given up.
 #[test]
 fn a_job_that_completes_while_it_is_given_up_is_answered_with_its_result() {
     let (mut site, agents) = Site::new(&[0]);
--- a/crates/decide/tests/evacuation.rs
+++ b/crates/decide/tests/evacuation.rs
@@ -1,27 +1,27 @@
-//! Evacuated data centres: nothing is placed or started there, what runs goes on, and
-//! admission counts without their room.
+//! Evacuated data centres: nothing is placed or started there, running tasks continue, and
+//! admission ignores their capacity.
 
 use {
     std::sync::Arc,
     sycamorerail_decide::{
         dispatch::{
-            AgentKey, Command, Dispatch, DispatchLimits, GiveUp, JobAnswer, JobKey, JobRequest,
-            KindParameters, StepRequest,
+            AgentKey, Command, Dispatch, DispatchLimits, JobAnswer, JobKey, JobRequest,
+            KindParameters, NoResultReason, StepRequest,
         },
-        ledger::{EndKind, Ended, LeaseAnswer, Ledger, LedgerLimits, StartAnswer},
+        ledger::{EndKind, LeaseAnswer, Ledger, LedgerLimits, RunEnd, StartAnswer},
     },
     sycamorerail_wire::{
         ids::Incarnation,
         runs::{
-            CallerId, Evacuations, LifeId, NotStarted, Placement, Room, RunEvent, RunReport,
-            TaskKey, TaskStart, UpstreamLife, UpstreamLoad,
+            CallerJobId, Evacuations, InstanceId, NotStarted, Resources, RunEvent, RunReport,
+            StepPlacement, TaskKey, TaskStart, UpstreamInstance, UpstreamLoad,
         },
     },
 };
 
 const ENTRY: Incarnation = Incarnation(7);
-const CAPACITY: Room = Room { cpu_milli: 10_000, memory_mb: 1_000, accelerators: 0 };
-const NEED: Room = Room { cpu_milli: 4_000, memory_mb: 10, accelerators: 0 };
+const CAPACITY: Resources = Resources { cpu_milli: 10_000, memory_mb: 1_000, accelerators: 0 };
+const NEED: Resources = Resources { cpu_milli: 4_000, memory_mb: 10, accelerators: 0 };
 const RUN_MS: u32 = 100;
 
 fn evacuations(revision: u64, data_centres: &[&str]) -> Evacuations {
@@ -29,9 +29,9 @@
     Evacuations { revision, data_centres }
 }
 
-fn life() -> UpstreamLife {
-    UpstreamLife {
-        id: LifeId::named("life"),
+fn life() -> UpstreamInstance {
+    UpstreamInstance {
+        id: InstanceId::without_start("life"),
         order_fence: 0,
         pool: "desk".to_owned(),
         capacity: CAPACITY,
@@ -51,7 +51,7 @@
     };
     let step = StepRequest { count, need: NEED, run_ms: RUN_MS, ..StepRequest::default() };
     JobRequest {
-        id: CallerId(id),
+        id: CallerJobId(id),
         kind: Arc::new(kind),
         spec: "spec".to_owned(),
         steps: vec![step],
@@ -60,7 +60,7 @@
     }
 }
 
-/// An entry at 100 ms with an idle agent in each of these data centres.
+/// Creates an entry at 100 ms with an idle agent in each of these data centres.
 fn site(data_centres: &[&str]) -> (Dispatch, Vec<AgentKey>) {
     let mut dispatch = Dispatch::new(DispatchLimits::default(), ENTRY);
     let agents = data_centres.iter().enumerate().map(|(number, data_centre)| {
@@ -68,7 +68,7 @@
         let agent = dispatch.agent_connected(&name, Incarnation(1), None, 100);
         dispatch.set_data_centre(agent, data_centre);
         dispatch.agent_ready(agent, 100);
-        dispatch.set_life(agent, life());
+        dispatch.set_instance(agent, life());
         report(&mut dispatch, agent, &[], 100);
         agent
     });
@@ -83,10 +83,10 @@
         slowness_percent: 100,
         ..UpstreamLoad::default()
     };
-    dispatch.report(agent, reports, load, u64::MAX, now_ms);
+    dispatch.handle_report(agent, reports, load, u64::MAX, now_ms);
 }
 
-fn hand_back(dispatch: &mut Dispatch, agent: AgentKey, placement: &Placement, now_ms: u64) {
+fn hand_back(dispatch: &mut Dispatch, agent: AgentKey, placement: &StepPlacement, now_ms: u64) {
     let event = RunEvent::NotStarted(NotStarted::Evacuated);
     let reports: Vec<_> = placement
         .tasks
@@ -99,7 +99,7 @@
     report(dispatch, agent, &reports, now_ms);
 }
 
-fn placements(dispatch: &mut Dispatch) -> Vec<(AgentKey, Placement)> {
+fn placements(dispatch: &mut Dispatch) -> Vec<(AgentKey, StepPlacement)> {
     let placed = dispatch.take_commands().into_iter().filter_map(|command| match command {
         Command::Place(agent, placement) => Some((agent, placement)),
         _ => None,
@@ -125,7 +125,7 @@
     report(&mut dispatch, agents[0], &[], 200);
     report(&mut dispatch, agents[1], &[], 200);
     dispatch.submit(job(2, 4, 200), 200).unwrap();
-    assert_eq!(placements(&mut dispatch).len(), 2, "taken back, both serve");
+    assert_eq!(placements(&mut dispatch).len(), 2, "both serve after the evacuation");
 }
 
 #[test]
@@ -135,7 +135,7 @@
     let late = dispatch.agent_connected("late", Incarnation(1), None, 100);
     dispatch.set_data_centre(late, "south");
     dispatch.agent_ready(late, 100);
-    dispatch.set_life(late, life());
+    dispatch.set_instance(late, life());
     report(&mut dispatch, late, &[], 100);
     dispatch.submit(job(1, 2, 100), 100).unwrap();
     let placed = placements(&mut dispatch);
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn what_an_agent_hands_back_is_placed_elsewhere_at_once() {
+fn returned_tasks_are_placed_elsewhere_at_once() {
     let (mut dispatch, agents) = site(&["north", "south"]);
     dispatch.submit(job(1, 4, 100), 100).unwrap();
     let placed = placements(&mut dispatch);
@@ -157,8 +157,8 @@
 }
 
 #[test]
-fn admission_counts_without_the_room_before_queues_show_it() {
-    // Four agents hold eight tasks at once; with one of them a third round is too late.
+fn admission_ignores_evacuated_capacity_before_queues_grow() {
+    // Four agents hold eight tasks at once; with one of them, a third round would be too late.
     let data_centres = ["north", "south", "south", "south"];
     let (mut dispatch, _) = site(&data_centres);
     assert!(dispatch.submit(job(1, 8, 100), 100).is_ok());
@@ -166,7 +166,7 @@
     dispatch.set_evacuations(evacuations(5, &["south"]), 100);
     let refused = dispatch.submit(job(1, 8, 100), 100).unwrap_err();
     assert!(
-        matches!(refused, JobAnswer::NotRun { why: GiveUp::Overload, .. }),
+        matches!(refused, JobAnswer::NotRun { reason: NoResultReason::Overload, .. }),
         "refused at once: {refused:?}"
     );
 }
@@ -176,7 +176,7 @@
     let (mut dispatch, _) = site(&["north", "south"]);
     dispatch.set_evacuations(evacuations(5, &["north", "south"]), 100);
     let refused = dispatch.submit(job(1, 1, 100), 100).unwrap_err();
-    let JobAnswer::NotRun { why: GiveUp::Evacuated, retry_after_ms } = refused else {
+    let JobAnswer::NotRun { reason: NoResultReason::Evacuated, retry_after_ms } = refused else {
         panic!("{refused:?}")
     };
     assert!(retry_after_ms >= 1_000);
@@ -192,34 +192,37 @@
     hand_back(&mut dispatch, agents[0], &placed[0].1, 111);
     dispatch.tick(120);
     let answer = answer(&mut dispatch, key);
-    assert!(matches!(answer, Some(JobAnswer::NotRun { why: GiveUp::Evacuated, .. })), "{answer:?}");
+    assert!(
+        matches!(answer, Some(JobAnswer::NotRun { reason: NoResultReason::Evacuated, .. })),
+        "{answer:?}"
+    );
 }
 
 #[test]
-fn a_list_that_was_true_earlier_is_not_taken() {
+fn an_older_list_of_evacuations_is_ignored() {
     let mut held = evacuations(7, &["north"]);
-    assert!(!held.update(&evacuations(6, &[])));
-    assert!(!held.update(&evacuations(9, &["north"])), "it says the same");
-    assert!(!held.update(&evacuations(8, &[])), "the same was true later");
-    assert!(held.update(&evacuations(10, &[])));
+    assert!(!held.merge_newer(&evacuations(6, &[])));
+    assert!(!held.merge_newer(&evacuations(9, &["north"])), "same data centres");
+    assert!(!held.merge_newer(&evacuations(8, &[])), "a newer revision is known");
+    assert!(held.merge_newer(&evacuations(10, &[])));
     assert_eq!(held, evacuations(10, &[]));
 }
 
-/// A ledger whose upstream runs task 0 of a job of four, of which two have room.
+/// Creates a ledger whose upstream runs task 0 of a job with four tasks and has room for two.
 fn busy_ledger() -> Ledger {
     let mut ledger = Ledger::new(LedgerLimits::default());
     ledger.set_upstream(life());
-    ledger.owner_heard(ENTRY, 1);
+    ledger.note_owner_contact(ENTRY, 1);
     renew(&mut ledger, 1, &[], &[]);
     ledger.place(ENTRY, placement(1, 4), 2);
     let first = ledger.next_start(2).unwrap();
-    ledger.start_answered(first.task, first.run, StartAnswer::Started, 3);
+    ledger.handle_start_answer(first.task, first.run, StartAnswer::Started, 3);
     ledger
 }
 
-fn placement(job: u64, count: u16) -> Placement {
-    Placement {
-        job: CallerId(job),
+fn placement(job: u64, count: u16) -> StepPlacement {
+    StepPlacement {
+        job: CallerJobId(job),
         step: 0,
         spec: "spec".to_owned(),
         tasks: (0..count).map(|index| TaskStart { index, run: 1 }).collect(),
@@ -228,21 +231,21 @@
         priority: 1,
         objective_in_ms: 400,
         give_up_in_ms: 2_000,
-        finishing: false,
+        job_mostly_started: false,
         suspect: false,
     }
 }
 
-fn renew(ledger: &mut Ledger, now_ms: u64, running: &[(TaskKey, u32)], ended: &[Ended]) {
+fn renew(ledger: &mut Ledger, now_ms: u64, running: &[(TaskKey, u32)], ended: &[RunEnd]) {
     let answer = LeaseAnswer {
-        life: life().id,
+        instance: life().id,
         fence: 0,
         sent_ms: now_ms,
         clock_ms: 50_000 + now_ms,
         running: running.to_vec(),
         ended: ended.to_vec(),
     };
-    ledger.renewed(&answer, now_ms);
+    ledger.handle_renewal_answer(&answer, now_ms);
 }
 
 fn events(ledger: &Ledger) -> Vec<(u16, RunEvent)> {
@@ -251,21 +254,21 @@
 }
 
 #[test]
-fn an_evacuated_agent_hands_back_what_waits_and_lets_the_rest_run() {
+fn an_evacuated_agent_returns_waiting_tasks_and_keeps_running_ones() {
     let mut ledger = busy_ledger();
     assert!(ledger.set_evacuated(true));
     let back = RunEvent::NotStarted(NotStarted::Evacuated);
     let told = events(&ledger);
     assert_eq!(told, [(0, RunEvent::Started), (1, back), (2, back), (3, back)]);
-    assert!(ledger.stops_due(4).is_empty(), "what runs goes on");
-    let task = TaskKey { job: CallerId(1), step: 0, index: 0 };
-    let done = Ended { number: 1, task, run: 1, kind: EndKind::Done };
+    assert!(ledger.stops_due(4).is_empty(), "running tasks continue");
+    let task = TaskKey { job: CallerJobId(1), step: 0, index: 0 };
+    let done = RunEnd { number: 1, task, run: 1, kind: EndKind::Done };
     renew(&mut ledger, 103, &[], &[done]);
     assert_eq!(events(&ledger).last(), Some(&(0, RunEvent::Done { run_ms: 100 })));
 }
 
 #[test]
-fn an_evacuated_agent_starts_nothing_until_it_is_taken_back() {
+fn an_evacuated_agent_starts_nothing_until_the_evacuation_ends() {
     let mut ledger = busy_ledger();
     ledger.set_evacuated(true);
     ledger.place(ENTRY, placement(2, 1), 5);
@@ -275,5 +278,5 @@
     assert!(ledger.set_evacuated(false));
     ledger.place(ENTRY, placement(3, 1), 6);
     assert!(ledger.load(6).usable);
-    assert_eq!(ledger.next_start(6).unwrap().task.job, CallerId(3));
+    assert_eq!(ledger.next_start(6).unwrap().task.job, CallerJobId(3));
 }
--- a/crates/decide/tests/fence_model.rs
+++ b/crates/decide/tests/fence_model.rs
@@ -1,19 +1,21 @@
-//! A home that is alive but cut off, agents with real start gates, and two
-//! entries that fence the home, with messages in any order, lost or late.
+//! Model-based test with a home that is alive but cut off, agents with real start gates, and
+//! two entries that fence the home. Messages arrive in any order, late or never.
 //!
-//! Starts are counted where the upstream is called. Held against them: what
-//! the home's state machine answers, and what each fencing entry concludes.
+//! Starts are counted where the upstream is called. They are compared with the answers of the
+//! home's state machine and the conclusions of each fencing entry.
 
 use {
     proptest::{collection::vec, prelude::*, sample::Index},
     std::{collections::BTreeMap, sync::Arc},
     sycamorerail_decide::{
         fence::{
-            Conclusion, Known, Roster,
-            collect::{Collector, FenceTimes, Request},
+            Conclusion, JobFacts, Roster,
+            collector::{Collector, FenceTimes, Request},
         },
-        gate::{Gate, Go, Limits, Placed, Settled, Start, UpstreamState},
-        job::{Action, Event, Job, PlacementKey, Reply, TaskKey, Terms},
+        gate::{
+            CallPermit, Gate, Limits, PlacementDecision, SettledTask, TaskStart, UpstreamState,
+        },
+        job::{Action, Event, Job, JobParameters, PlacementKey, Reply, TaskAttempt},
         view::UpstreamKey,
     },
     sycamorerail_wire::{
@@ -25,7 +27,7 @@
 
 const HOME: Incarnation = Incarnation(77);
 const AGENTS: usize = 4;
-/// Tasks of each job; the last is a repeatable request.
+/// Number of tasks of each job; the last job is a repeatable request.
 const JOBS: [u16; 4] = [1, 2, 3, 1];
 const REQUEST: usize = 3;
 const FENCERS: usize = 2;
@@ -73,7 +75,7 @@
     ]
 }
 
-/// A change of the platform's records, in its order.
+/// A change of the platform's records, in the order of the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Change {
     Registered(usize),
@@ -84,8 +86,8 @@
 enum Message {
     Place { agent: usize, job: usize, key: PlacementKey },
     Placed { agent: usize, job: usize, key: PlacementKey, body: AgentReplyBody },
-    Revoke { agent: usize, job: usize, tasks: Vec<TaskKey> },
-    Revoked { agent: usize, job: usize, tasks: Vec<TaskKey>, reports: Vec<TaskReport> },
+    Revoke { agent: usize, job: usize, tasks: Vec<TaskAttempt> },
+    Revoked { agent: usize, job: usize, tasks: Vec<TaskAttempt>, reports: Vec<TaskReport> },
     Fence { fencer: usize, request: Request },
     Fenced { fencer: usize, request: Request, held: Vec<FencedJob> },
 }
@@ -101,10 +103,10 @@
     now_ms: u64,
     ids: Vec<JobId>,
     log: Vec<Change>,
-    /// How much of the log the home has seen.
+    /// Number of log entries that the home has seen.
     seen: usize,
     jobs: Vec<Job>,
-    waiting: Vec<(usize, TaskKey)>,
+    waiting: Vec<(usize, TaskAttempt)>,
     home_says: Vec<Option<Answer>>,
     retired: bool,
     agents: Vec<Agent>,
@@ -137,7 +139,7 @@
         let address = "10.0.0.1:1".parse().unwrap();
         let organisation = OrganisationKey(1);
         let mint = |sequence| JobId::mint(&key, address, HOME, 1, sequence, organisation);
-        let terms = |(job, task_count): (usize, &u16)| Terms {
+        let parameters = |(job, task_count): (usize, &u16)| JobParameters {
             task_count: *task_count,
             max_attempts: if job == REQUEST { 3 } else { 1 },
             deadline_at_ms: DEADLINE_MS,
@@ -145,9 +147,9 @@
             report_wait_ms: 200,
             retry_after_ms: 10,
         };
-        let jobs: Vec<_> = JOBS.iter().enumerate().map(terms).map(Job::new).collect();
+        let jobs: Vec<_> = JOBS.iter().enumerate().map(parameters).map(Job::new).collect();
         let first = |(job, task_count): (usize, &u16)| {
-            (0..*task_count).map(move |index| (job, TaskKey { index, attempt: 0 }))
+            (0..*task_count).map(move |index| (job, TaskAttempt { index, attempt: 0 }))
         };
         let agent = |agent| {
             let mut gate = Gate::new(incarnation(agent), LIMITS);
@@ -202,7 +204,7 @@
         }
     }
 
-    /// The home's mirror takes in one more change.
+    /// The home reads one more change of the log.
     fn follow(&mut self) {
         let Some(change) = self.log.get(self.seen) else { return };
         self.seen += 1;
@@ -235,13 +237,15 @@
         }
         let (job, task) = self.waiting.remove(index.index(self.waiting.len()));
         let agent = usable[index.index(usable.len())];
-        if let Some(key) = self.jobs[job].place(task, UpstreamKey(agent as u32), self.now_ms) {
+        if let Some(key) =
+            self.jobs[job].open_placement(task, UpstreamKey(agent as u32), self.now_ms)
+        {
             self.messages.push(Message::Place { agent, job, key });
         }
     }
 
     fn drive(&mut self, job: usize, event: Event) {
-        let actions = self.jobs[job].on(event, self.now_ms, &mut |_| Some(0));
+        let actions = self.jobs[job].handle_event(event, self.now_ms, &mut |_| Some(0));
         for action in actions {
             match action {
                 Action::Enqueue { task, .. } => self.waiting.push((job, task)),
@@ -277,7 +281,7 @@
             Message::Fence { fencer, request } => self.agent_fenced(fencer, request),
             Message::Fenced { fencer, request, held } => {
                 if let Some(collector) = &mut self.collectors[fencer] {
-                    collector.answered(&request, held);
+                    collector.handle_answer(&request, held);
                 }
             }
         }
@@ -293,10 +297,12 @@
         let agent = &mut self.agents[at];
         agent.waiters.push((task, job, key));
         match agent.gate.place(placement, self.now_ms) {
-            Placed::Start(start) => self.start(at, &start),
-            Placed::Queued { .. } | Placed::Joined => {}
-            Placed::Known(body) => self.reply(at, &[Settled { task, reply: body }]),
-            Placed::Refused(refusal) => {
+            PlacementDecision::Start(start) => self.start(at, &start),
+            PlacementDecision::Queued { .. } | PlacementDecision::Joined => {}
+            PlacementDecision::Settled(body) => {
+                self.reply(at, &[SettledTask { task, reply: body }])
+            }
+            PlacementDecision::Refused(refusal) => {
                 agent.waiters.retain(|waiter| *waiter != (task, job, key));
                 let body = refusal.reply();
                 self.messages.push(Message::Placed { agent: at, job, key, body });
@@ -304,7 +310,7 @@
         }
     }
 
-    fn placement(&self, agent: usize, job: usize, task: TaskKey) -> Placement {
+    fn placement(&self, agent: usize, job: usize, task: TaskAttempt) -> Placement {
         Placement {
             agent: incarnation(agent),
             task: TaskId { job: self.ids[job], index: task.index, attempt: task.attempt },
@@ -320,10 +326,10 @@
         }
     }
 
-    fn start(&mut self, at: usize, start: &Start) {
+    fn start(&mut self, at: usize, start: &TaskStart) {
         let task = start.placement.task;
         let agent = &mut self.agents[at];
-        if agent.gate.go(task) == Go::Call {
+        if agent.gate.permit_call(task) == CallPermit::Granted {
             agent.running.push(task);
             let starts = self.starts.entry(task).or_default();
             *starts += 1;
@@ -331,8 +337,8 @@
         }
     }
 
-    fn reply(&mut self, at: usize, settled: &[Settled]) {
-        for Settled { task, reply } in settled {
+    fn reply(&mut self, at: usize, settled: &[SettledTask]) {
+        for SettledTask { task, reply } in settled {
             let waiters = std::mem::take(&mut self.agents[at].waiters);
             let (told, left): (Vec<_>, Vec<_>) =
                 waiters.into_iter().partition(|(waits, ..)| waits == task);
@@ -373,12 +379,12 @@
         let settled = match how {
             0 => {
                 let end = TaskEnd::Failed { reason: Reason::TaskFailed, detail: String::new() };
-                agent.gate.ended(task, end, 1, self.now_ms)
+                agent.gate.record_end(task, end, 1, self.now_ms)
             }
-            1 => agent.gate.broken(task, Reason::UpstreamBroken, self.now_ms),
+            1 => agent.gate.record_broken(task, Reason::UpstreamBroken, self.now_ms),
             _ => {
                 let end = TaskEnd::Finished(Payload(format!("result {}", task.index)));
-                agent.gate.ended(task, end, 1, self.now_ms)
+                agent.gate.record_end(task, end, 1, self.now_ms)
             }
         };
         self.reply(at, &settled.into_iter().collect::<Vec<_>>());
@@ -399,13 +405,13 @@
         self.drive(job, Event::Replied { placement: key, peer: "agent".into(), reply });
     }
 
-    fn agent_revoked(&mut self, at: usize, job: usize, tasks: Vec<TaskKey>) {
+    fn agent_revoked(&mut self, at: usize, job: usize, tasks: Vec<TaskAttempt>) {
         let upstream = UpstreamKey(at as u32);
         if !self.agents[at].alive {
             let failed = |task| Event::RevokeFailed { upstream, task };
             return tasks.into_iter().for_each(|task| self.drive(job, failed(task)));
         }
-        let id = |task: &TaskKey| TaskId {
+        let id = |task: &TaskAttempt| TaskId {
             job: self.ids[job],
             index: task.index,
             attempt: task.attempt,
@@ -418,7 +424,7 @@
         self.reply(at, &revoked.settled);
     }
 
-    fn home_reported(&mut self, at: usize, job: usize, tasks: &[TaskKey], told: &[TaskReport]) {
+    fn home_reported(&mut self, at: usize, job: usize, tasks: &[TaskAttempt], told: &[TaskReport]) {
         let upstream = UpstreamKey(at as u32);
         for &task in tasks {
             let is_of = |report: &&TaskReport| {
@@ -441,7 +447,7 @@
         let at = usize::try_from(request.agent.0 - 100).unwrap();
         if !self.agents[at].alive {
             if let Some(collector) = &mut self.collectors[fencer] {
-                collector.unanswered(&request, self.now_ms);
+                collector.handle_no_answer(&request, self.now_ms);
             }
             return;
         }
@@ -450,7 +456,7 @@
         self.reply(at, &fenced.settled);
     }
 
-    /// A message is lost with its connection; whoever waits for it notices.
+    /// A message is lost with its connection; the waiting side notices.
     fn lose(&mut self, index: &Index) {
         if self.messages.is_empty() {
             return;
@@ -459,7 +465,7 @@
             Message::Place { agent, job, key } | Message::Placed { agent, job, key, .. } => {
                 self.agents[agent].waiters.retain(|(_, of, waits)| (*of, *waits) != (job, key));
                 self.drive(job, Event::ConnectionBroke { placement: key });
-                if self.jobs[job].send_again(key) {
+                if self.jobs[job].resend_placement(key) {
                     self.messages.push(Message::Place { agent, job, key });
                 } else {
                     let tasks = vec![key.task];
@@ -474,7 +480,7 @@
             }
             Message::Fence { fencer, request } | Message::Fenced { fencer, request, .. } => {
                 if let Some(collector) = &mut self.collectors[fencer] {
-                    collector.unanswered(&request, self.now_ms);
+                    collector.handle_no_answer(&request, self.now_ms);
                 }
             }
         }
@@ -494,7 +500,7 @@
 
     fn ask(&mut self, fencer: usize, job: usize) {
         if let Some(collector) = &mut self.collectors[fencer] {
-            collector.ask(self.ids[job], self.now_ms);
+            collector.ask_about(self.ids[job], self.now_ms);
         }
     }
 
@@ -502,7 +508,7 @@
         self.now_ms += ms;
         for fencer in 0..FENCERS {
             if let Some(collector) = &mut self.collectors[fencer] {
-                let requests = collector.due(self.now_ms);
+                let requests = collector.due_requests(self.now_ms);
                 let fence = |request| Message::Fence { fencer, request };
                 self.messages.extend(requests.into_iter().map(fence));
             }
@@ -518,11 +524,12 @@
         for fencer in 0..FENCERS {
             for job in 0..JOBS.len() {
                 let Some(collector) = &self.collectors[fencer] else { continue };
-                let known = Known { content: Some(content(job)), single_attempt: job != REQUEST };
+                let known =
+                    JobFacts { content: Some(content(job)), single_attempt: job != REQUEST };
                 let conclusion = collector.conclude(self.ids[job], known, self.now_ms);
                 assert_ne!(conclusion, Conclusion::Conflict);
                 if conclusion.is_final() {
-                    // As the entry does: the first final conclusion is kept.
+                    // Like the entry, keeps the first final conclusion.
                     self.concluded[fencer].entry(job).or_insert(conclusion);
                 }
             }
@@ -565,8 +572,8 @@
     model
 }
 
-/// Delivers all that is under way, ends all that runs, and asks for all jobs,
-/// long enough for every conclusion that can be had.
+/// Delivers all messages, ends all running tasks, and asks about all jobs, long enough for
+/// every conclusion that can be reached.
 fn settle(model: &mut Model, any: &Index) {
     for _ in 0..60 {
         while !model.messages.is_empty() {
@@ -586,12 +593,12 @@
     #![proptest_config(ProptestConfig::with_cases(1_500))]
 
     #[test]
-    fn answers_agree(ops in vec(op(), 1..160)) {
+    fn home_and_fencers_agree(ops in vec(op(), 1..160)) {
         run(ops);
     }
 
     #[test]
-    fn thawed_home_agrees(ops in vec(op(), 1..120), any in any::<Index>()) {
+    fn a_resumed_home_agrees_with_fencers(ops in vec(op(), 1..120), any in any::<Index>()) {
         let mut model = run(ops);
         model.fence();
         (0..FENCERS).for_each(|fencer| model.read_roster(fencer));
--- a/crates/decide/tests/ledger_machine.rs
+++ b/crates/decide/tests/ledger_machine.rs
@@ -1,31 +1,34 @@
-//! Ledgers against upstreams as a state machine: calls are carried out late or
-//! never, answers are lost, agents restart and stand still, upstreams start again under
-//! their ids. No upstream's room is exceeded, and no task runs twice at once.
+//! Model-based test of ledgers against upstreams: calls are carried out late or never, answers
+//! are lost, agents restart or are suspended, and upstreams restart under their ids. No
+//! upstream's capacity is exceeded, and no task runs twice at once.
 //!
-//! One case is left out, as nothing on the wire tells it: an order for an earlier life that
-//! reaches the next one before any call with a new fence, and after the agent has settled
-//! it or has not heard the upstream for as long as it trusts it.
+//! One case is excluded because the protocol cannot detect it: an order for an earlier instance
+//! that reaches the next instance before any call with a new fence, after the agent has settled
+//! the order or has not heard from the upstream for as long as it trusts it.
 
 use {
     proptest::{collection::vec, prelude::*, sample::Index},
     std::collections::HashMap,
     sycamorerail_decide::ledger::{
-        EndKind, Ended, LeaseAnswer, Ledger, LedgerLimits, LifeEnd, StartAnswer, StartOrder,
+        EndKind, InstanceEnd, LeaseAnswer, Ledger, LedgerLimits, RunEnd, StartAnswer, StartOrder,
         StartRefusal,
     },
     sycamorerail_wire::{
         ids::Incarnation,
-        runs::{CallerId, LifeId, Placement, Room, RunEvent, TaskKey, TaskStart, UpstreamLife},
+        runs::{
+            CallerJobId, InstanceId, Resources, RunEvent, StepPlacement, TaskKey, TaskStart,
+            UpstreamInstance,
+        },
     },
 };
 
 const ENTRY: Incarnation = Incarnation(1);
 const SITES: usize = 2;
-/// When the first lives started.
+/// Start time of the first instances.
 const STARTED_UNIX_MS: u64 = 1_700_000_000_000;
-/// An answer to a renewal is waited for so long.
+/// How long an agent waits for an answer to a renewal.
 const ANSWER_WITHIN_MS: u64 = 240;
-/// A process takes longer to start.
+/// Shorter than the time in which a process starts.
 const AGENT_STARTS_MS: u64 = 20;
 /// Longest lease that an upstream grants.
 const LEASE_MS: u64 = 1_000;
@@ -46,7 +49,7 @@
     Order {
         site: usize,
     },
-    /// Carries out a start or stop that is under way, and delivers its answer.
+    /// Carries out a pending start or stop, and delivers its answer.
     CarryOut {
         call: Index,
         lose_answer: bool,
@@ -57,7 +60,7 @@
         site: usize,
         lose_answer: bool,
     },
-    /// An unanswered renewal is carried out now.
+    /// Carries out an unanswered renewal.
     LateRenewal(Index),
     End {
         site: usize,
@@ -67,15 +70,15 @@
     RestartAgent {
         site: usize,
     },
-    /// The upstream starts again under its id, its time of day may have gone back.
+    /// The upstream restarts under its id; its time of day may have been set back.
     RestartUpstream {
         site: usize,
         started_unix_ms: u64,
-        /// The agent has found nobody listening in between.
+        /// The agent has found no listener in between.
         is_noticed: bool,
     },
-    /// The present life of an upstream announces itself, or an announcement of the one
-    /// before it arrives.
+    /// The current instance of an upstream announces itself, or a late announcement of the
+    /// previous instance arrives.
     Announce {
         site: usize,
         is_late: bool,
@@ -83,19 +86,19 @@
     Withdraw {
         site: usize,
     },
-    /// A renewal is carried out; its answer is held up.
+    /// A renewal is carried out; its answer is delayed.
     SlowRenewal {
         site: usize,
     },
-    /// A held up answer arrives.
+    /// A delayed answer arrives.
     LateAnswer(Index),
-    /// A site at work: its lease is renewed, a task placed if the entry has it
-    /// nowhere, and what is due is ordered and carried out.
+    /// A site works normally: its lease is renewed, a task is placed if the entry has not
+    /// placed it anywhere, and pending starts and stops are sent and carried out.
     Work {
         site: usize,
         job: u64,
     },
-    /// The VM of a site is suspended; its upstream may be, too.
+    /// The VM of a site is suspended, perhaps together with its upstream.
     Suspend {
         site: usize,
         ms: u64,
@@ -139,22 +142,22 @@
     prop_oneof![4 => Just(false), 1 => Just(true)]
 }
 
-/// An upstream as the agents' calls meet it. Its clock is 2 % slow.
+/// Model of an upstream as seen by the agents' calls. Its clock is 2 % slow.
 #[derive(Debug, Default)]
 struct Upstream {
     started_unix_ms: u64,
-    /// Start of the life before.
+    /// Start time of the previous instance.
     before_unix_ms: Option<u64>,
     began_ms: u64,
-    /// It has seen a fence that was taken for this life.
+    /// It has seen a fence that was taken for this instance.
     is_fenced: bool,
     running: HashMap<TaskKey, (u32, u32)>,
     highest: HashMap<TaskKey, u32>,
-    ended: Vec<Ended>,
+    ended: Vec<RunEnd>,
     last_end: u64,
     fence: u64,
     lease_until_clock_ms: u64,
-    /// For so long its clock stood still.
+    /// Total time for which its clock stood still.
     suspended_ms: u64,
 }
 
@@ -168,8 +171,8 @@
         *self = Self { before_unix_ms, ..Self::new(started_unix_ms, now_ms) };
     }
 
-    fn id(&self) -> LifeId {
-        life(self.started_unix_ms).id
+    fn id(&self) -> InstanceId {
+        instance(self.started_unix_ms).id
     }
 
     fn clock_ms(&self, now_ms: u64) -> u64 {
@@ -186,7 +189,7 @@
 
     fn list(&mut self, task: TaskKey, run: u32, kind: EndKind) {
         self.last_end += 1;
-        self.ended.push(Ended { number: self.last_end, task, run, kind });
+        self.ended.push(RunEnd { number: self.last_end, task, run, kind });
         let highest = self.highest.entry(task).or_default();
         *highest = run.max(*highest);
     }
@@ -250,7 +253,7 @@
         }
         self.ended.retain(|ended| ended.number > acknowledged);
         Some(LeaseAnswer {
-            life: self.id(),
+            instance: self.id(),
             fence,
             sent_ms: now_ms,
             clock_ms: self.clock_ms(now_ms),
@@ -281,37 +284,37 @@
 struct Site {
     ledger: Ledger,
     upstream: Upstream,
-    /// The upstream's life as the agent's next run will know it.
-    recorded: UpstreamLife,
+    /// The upstream's instance as recorded for the agent's next run.
+    recorded: UpstreamInstance,
     agent: u32,
-    /// For so long its VM was suspended since the agent began.
+    /// Total time for which its VM was suspended since the agent started.
     suspended_ms: u64,
 }
 
 impl Site {
-    /// An agent's call before the first order, as often as it is refused.
+    /// Makes the calls that precede an agent's first order, repeated while they are refused.
     fn fence(&mut self, now_ms: u64) {
         while !self.ledger.is_fenced() || self.upstream.fence < self.ledger.fence() {
             self.renew(None, now_ms);
         }
     }
 
-    /// Carries out a renewal and delivers its answer, if it got one.
+    /// Carries out a renewal and delivers the answer, if there is one.
     fn renew(&mut self, lease: Option<u64>, now_ms: u64) {
         if let Some((answer, is_fenced)) = self.carry_out(lease, now_ms) {
             self.answered(&answer, is_fenced, now_ms);
         }
     }
 
-    /// Carries out a renewal; returns its answer and whether a fence was taken before.
+    /// Carries out a renewal; returns the answer and whether a fence had been taken before.
     fn carry_out(&mut self, lease: Option<u64>, now_ms: u64) -> Option<(LeaseAnswer, bool)> {
         let Self { ledger, upstream, .. } = self;
         let (fence, is_fenced) = (ledger.fence(), ledger.is_fenced());
-        let acknowledged = if is_fenced { ledger.acknowledged() } else { 0 };
+        let acknowledged = if is_fenced { ledger.last_acknowledged_end() } else { 0 };
         let answer = upstream.renew(lease.filter(|_| is_fenced), fence, acknowledged, now_ms);
         if answer.is_none() {
-            ledger.fence_refused(fence, upstream.clock_ms(now_ms));
-        } else if is_fenced && ledger.present() == Some(&upstream.id()) {
+            ledger.handle_fence_refusal(fence, upstream.clock_ms(now_ms));
+        } else if is_fenced && ledger.current_instance() == Some(&upstream.id()) {
             upstream.is_fenced = true;
         }
         answer.map(|answer| (answer, is_fenced))
@@ -319,20 +322,21 @@
 
     fn answered(&mut self, answer: &LeaseAnswer, is_fenced: bool, now_ms: u64) {
         if is_fenced {
-            self.ledger.renewed(answer, now_ms);
+            self.ledger.handle_renewal_answer(answer, now_ms);
         } else {
-            self.ledger.fence_off(answer, now_ms);
+            self.ledger.handle_fence_answer(answer, now_ms);
         }
     }
 
-    /// Whether nothing on the wire keeps this order for an earlier life from the present one.
+    /// Whether nothing in the protocol keeps this order for an earlier instance from being
+    /// carried out by the current one.
     fn is_left_open(&self, order: &StartOrder, now_ms: u64) -> bool {
-        let is_held = self.ledger.held(ENTRY).contains(&(order.task, order.run));
+        let is_held = self.ledger.held_runs(ENTRY).contains(&(order.task, order.run));
         !(self.upstream.is_fenced || is_held && self.ledger.is_trusted(now_ms))
     }
 }
 
-/// An answer that is on its way to an agent.
+/// An answer in transit to an agent.
 struct SlowAnswer {
     site: usize,
     agent: u32,
@@ -340,7 +344,7 @@
     is_fenced: bool,
 }
 
-/// What the entry believes of a task: where it is, and its last start.
+/// The entry's view of a task: where it is placed, and the number of its last run.
 #[derive(Clone, Copy, Debug, Default)]
 struct Belief {
     site: Option<usize>,
@@ -356,28 +360,28 @@
     tasks: HashMap<TaskKey, Belief>,
 }
 
-fn life(started_unix_ms: u64) -> UpstreamLife {
-    UpstreamLife {
-        id: LifeId { id: "a".to_owned(), started_unix_ms: Some(started_unix_ms) },
+fn instance(started_unix_ms: u64) -> UpstreamInstance {
+    UpstreamInstance {
+        id: InstanceId { id: "a".to_owned(), started_unix_ms: Some(started_unix_ms) },
         order_fence: 0,
         pool: "desk".to_owned(),
-        capacity: Room { cpu_milli: CAPACITY_MILLI, memory_mb: 0, accelerators: 0 },
+        capacity: Resources { cpu_milli: CAPACITY_MILLI, memory_mb: 0, accelerators: 0 },
         labels: Vec::new(),
         leaving: false,
     }
 }
 
 fn task(job: u64) -> TaskKey {
-    TaskKey { job: CallerId(job), step: 0, index: 0 }
+    TaskKey { job: CallerJobId(job), step: 0, index: 0 }
 }
 
 fn need_milli(task: TaskKey) -> u32 {
     NEED_MILLI[task.job.0 as usize % NEED_MILLI.len()]
 }
 
-fn new_ledger(life: UpstreamLife) -> Ledger {
+fn new_ledger(recorded: UpstreamInstance) -> Ledger {
     let mut ledger = Ledger::new(LedgerLimits::default());
-    ledger.set_upstream(life);
+    ledger.set_upstream(recorded);
     ledger
 }
 
@@ -385,9 +389,9 @@
     fn new() -> Self {
         let site = || {
             let mut site = Site {
-                ledger: new_ledger(life(STARTED_UNIX_MS)),
+                ledger: new_ledger(instance(STARTED_UNIX_MS)),
                 upstream: Upstream::new(STARTED_UNIX_MS, 0),
-                recorded: life(STARTED_UNIX_MS),
+                recorded: instance(STARTED_UNIX_MS),
                 agent: 0,
                 suspended_ms: 0,
             };
@@ -407,7 +411,7 @@
     fn run(&mut self, op: Op) {
         match op {
             Op::Place { job, site } => self.place(task(job), site),
-            Op::StopJob { job, site } => self.sites[site].ledger.stop_job(ENTRY, CallerId(job)),
+            Op::StopJob { job, site } => self.sites[site].ledger.stop_job(ENTRY, CallerJobId(job)),
             Op::Order { site } => self.order(site),
             Op::CarryOut { call, lose_answer } => self.carry_out(call, lose_answer),
             Op::TimeOut(call) => self.time_out(call),
@@ -420,7 +424,7 @@
             }
             Op::Announce { site, is_late } => self.announce(site, is_late),
             Op::Withdraw { site } => {
-                self.sites[site].ledger.withdrawn("a", self.now_ms);
+                self.sites[site].ledger.handle_withdrawal("a", self.now_ms);
             }
             Op::SlowRenewal { site } => self.slow_renewal(site),
             Op::LateAnswer(answer) => self.late_answer(answer),
@@ -430,18 +434,18 @@
         }
         for site in &mut self.sites {
             site.upstream.lapse(self.now_ms);
-            site.ledger.note_suspended(site.suspended_ms, self.now_ms);
-            site.ledger.check_lapse(self.now_ms);
-            site.ledger.expire(self.now_ms);
-            if let Some(life) = site.ledger.proven_life() {
-                site.recorded = life.clone();
+            site.ledger.note_suspension(site.suspended_ms, self.now_ms);
+            site.ledger.check_lease_lapse(self.now_ms);
+            site.ledger.drop_expired(self.now_ms);
+            if let Some(instance) = site.ledger.proven_instance() {
+                site.recorded = instance.clone();
             }
         }
         self.read_reports();
         self.check();
     }
 
-    /// The entry places a task where it believes it nowhere.
+    /// The entry places a task that it has not placed anywhere.
     fn place(&mut self, task: TaskKey, site: usize) {
         let belief = self.tasks.entry(task).or_default();
         if belief.site.is_some() {
@@ -449,28 +453,28 @@
         }
         belief.site = Some(site);
         belief.run += 1;
-        let placement = Placement {
+        let placement = StepPlacement {
             job: task.job,
             step: 0,
             spec: String::new(),
             tasks: vec![TaskStart { index: 0, run: belief.run }],
-            need: Room { cpu_milli: need_milli(task), memory_mb: 0, accelerators: 0 },
+            need: Resources { cpu_milli: need_milli(task), memory_mb: 0, accelerators: 0 },
             run_ms: 50,
             priority: 0,
             objective_in_ms: 1_000,
             give_up_in_ms: 3_000,
-            finishing: false,
+            job_mostly_started: false,
             suspect: false,
         };
         let ledger = &mut self.sites[site].ledger;
-        ledger.owner_heard(ENTRY, self.now_ms);
+        ledger.note_owner_contact(ENTRY, self.now_ms);
         ledger.place(ENTRY, placement, self.now_ms);
     }
 
     fn order(&mut self, site: usize) {
         let Site { ledger, agent, .. } = &mut self.sites[site];
         let fence = ledger.fence();
-        ledger.owner_heard(ENTRY, self.now_ms);
+        ledger.note_owner_contact(ENTRY, self.now_ms);
         while let Some(order) = ledger.next_start(self.now_ms) {
             let start = Call::Start { site, agent: *agent, order, fence, answered: false };
             self.calls.push(start);
@@ -480,7 +484,7 @@
         }
     }
 
-    /// Time passes for all; the suspended VM finds out as it wakes.
+    /// Time passes everywhere; the suspended VM notices it when it resumes.
     fn suspend(&mut self, site: usize, ms: u64, with_upstream: bool) {
         self.now_ms += ms;
         let site = &mut self.sites[site];
@@ -521,14 +525,14 @@
                 let answer = site.upstream.start(&order, need, fence, now_ms);
                 if site.agent == agent && !answered {
                     let answer = if lose_answer { StartAnswer::Unanswered } else { answer };
-                    site.ledger.start_answered(order.task, order.run, answer, now_ms);
+                    site.ledger.handle_start_answer(order.task, order.run, answer, now_ms);
                 }
             }
             Call::Stop { site, agent, task, run, fence } => {
                 let site = &mut self.sites[site];
                 let stopped = site.upstream.stop(task, run, fence, now_ms);
                 if site.agent == agent && stopped && !lose_answer {
-                    site.ledger.stop_confirmed(task, run, now_ms);
+                    site.ledger.handle_stop_confirmation(task, run, now_ms);
                 }
             }
         }
@@ -545,13 +549,13 @@
         let site = &mut self.sites[*site];
         if site.agent == *agent && !std::mem::replace(answered, true) {
             let (task, run) = (order.task, order.run);
-            site.ledger.start_answered(task, run, StartAnswer::Unanswered, self.now_ms);
+            site.ledger.handle_start_answer(task, run, StartAnswer::Unanswered, self.now_ms);
         }
     }
 
     fn renew(&mut self, site: usize, lose_answer: bool) {
         let Site { ledger, upstream, .. } = &mut self.sites[site];
-        if ledger.present().is_none() {
+        if ledger.current_instance().is_none() {
             return;
         }
         let lease = ledger.lease_until_clock_ms(self.now_ms).filter(|_| ledger.is_fenced());
@@ -570,8 +574,8 @@
         if started_unix_ms == upstream.started_unix_ms {
             return;
         }
-        if is_noticed && ledger.present().is_some() {
-            ledger.lose_upstream(LifeEnd::Crashed);
+        if is_noticed && ledger.current_instance().is_some() {
+            ledger.end_instance(InstanceEnd::Crashed);
         }
         upstream.restart(started_unix_ms, self.now_ms);
     }
@@ -579,13 +583,13 @@
     fn announce(&mut self, site: usize, is_late: bool) {
         let Site { ledger, upstream, .. } = &mut self.sites[site];
         let late = upstream.before_unix_ms.filter(|_| is_late);
-        ledger.announced(life(late.unwrap_or(upstream.started_unix_ms)), self.now_ms);
+        ledger.handle_announcement(instance(late.unwrap_or(upstream.started_unix_ms)), self.now_ms);
     }
 
     fn slow_renewal(&mut self, site: usize) {
         let now_ms = self.now_ms;
         let asked = &mut self.sites[site];
-        if asked.ledger.present().is_none() {
+        if asked.ledger.current_instance().is_none() {
             return;
         }
         let lease = asked.ledger.lease_until_clock_ms(now_ms);
@@ -595,7 +599,7 @@
         }
     }
 
-    /// It counts unless the agent waits for it no more.
+    /// Delivers a delayed answer, unless the agent no longer waits for it.
     fn late_answer(&mut self, answer: Index) {
         if self.answers.is_empty() {
             return;
@@ -631,8 +635,8 @@
         upstream.list(task, number, kind);
     }
 
-    /// A new run of the agent takes a higher fence. The entry learns what became
-    /// of the runs before it once the ledger says that nothing is left.
+    /// A new run of the agent takes a higher fence. The entry learns how the earlier runs of
+    /// tasks ended once the ledger reports that nothing is left of them.
     fn restart(&mut self, site: usize) {
         self.now_ms += AGENT_STARTS_MS;
         let site = &mut self.sites[site];
@@ -653,9 +657,9 @@
                 }
             }
             let last = reports.last().map_or(0, |report| report.number);
-            site.ledger.confirmed(ENTRY, last);
+            site.ledger.confirm_reports(ENTRY, last);
             if site.agent > 0 && site.ledger.load(self.now_ms).usable {
-                let held = site.ledger.held(ENTRY);
+                let held = site.ledger.held_runs(ENTRY);
                 for (task, belief) in &mut self.tasks {
                     if belief.site == Some(number) && !held.contains(&(*task, belief.run)) {
                         belief.site = None;
@@ -681,7 +685,7 @@
     #![proptest_config(ProptestConfig { cases: 3_000, ..ProptestConfig::default() })]
 
     #[test]
-    fn room_and_single_runs_hold(ops in vec(op(), 1..250)) {
+    fn capacity_and_single_runs_hold(ops in vec(op(), 1..250)) {
         let mut world = World::new();
         for op in ops {
             world.run(op);
@@ -689,8 +693,8 @@
     }
 }
 
-/// The agent's next run knew the last life only, whose fence was no measure of the one before
-/// it: a late order was carried out beyond the room.
+/// The agent's next run knew only the last instance, whose fence did not bound the fence of the
+/// instance before it: a late order was carried out beyond the capacity.
 #[test]
 fn two_restarts_with_the_time_of_day_gone_back_and_a_new_agent() {
     let restarted =
--- a/crates/entry/src/dispatch/probe.rs
+++ b/crates/entry/src/dispatch/probe.rs
@@ -4,7 +4,7 @@
     super::observe::take_probe,
     crate::{jobs::JobCell, shared::Shared, upstreams::Snapshot},
     std::sync::atomic::Ordering,
-    sycamorerail_decide::{job::TaskKey, view::UpstreamKey},
+    sycamorerail_decide::{job::TaskAttempt, view::UpstreamKey},
 };
 
 /// The ejected upstream that this attempt is to probe, if any. Only a request
@@ -13,7 +13,7 @@
     shared: &Shared,
     snapshot: &Snapshot,
     cell: &JobCell,
-    task: TaskKey,
+    task: TaskAttempt,
     avoid: &[UpstreamKey],
 ) -> Option<UpstreamKey> {
     if !cell.is_repeatable() || task.attempt > 0 || cell.kind.max_attempts < 2 {
@@ -24,7 +24,7 @@
         let row = snapshot.view.row(key);
         let may_use = snapshot.may_use(key, cell.id.incarnation) && !avoid.contains(&key);
         let serves = row.is_some_and(|row| {
-            row.could_hold(cell.kind.key, size_bytes)
+            row.can_serve(cell.kind.key, size_bytes)
                 && !row.live.leaving.load(Ordering::Acquire)
                 && !row.live.evacuated.load(Ordering::Acquire)
         });
--- a/crates/entry/src/dispatch/queue.rs
+++ b/crates/entry/src/dispatch/queue.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        choose::ask,
+        choose::placement_query,
         kinds::{Kinds, numbers},
         place::{Tried, try_place},
         quota::Quotas,
@@ -23,8 +23,8 @@
         admission::{forecast::DrainRate, is_evacuated},
         ejection::Ejections,
         estimate::Estimates,
-        job::{Event, TaskKey},
-        queue::{Backlog, Queue, Rank},
+        job::{Event, TaskAttempt},
+        queue::{Backlog, Queue, SchedulingParams},
     },
     sycamorerail_settings::entry::LimitSettings,
     sycamorerail_wire::{
@@ -45,7 +45,7 @@
 #[derive(Debug)]
 struct Waiting {
     cell: Arc<JobCell>,
-    task: TaskKey,
+    task: TaskAttempt,
 }
 
 /// Tasks that wait at the entry, and what is known for placing them.
@@ -137,13 +137,13 @@
         metrics::gauge!("sycamorerail_queued_tasks").set(queue.len());
     }
 
-    fn push(&self, rank: Rank, waiting: Waiting, now_ms: u64) -> Result<(), Waiting> {
+    fn push(&self, params: SchedulingParams, waiting: Waiting, now_ms: u64) -> Result<(), Waiting> {
         let cell = Arc::clone(&waiting.cell);
         let mut queue = self.queue.lock();
         if queue.is_empty() {
             self.drain_rate.lock().clear(now_ms);
         }
-        let key = queue.push(rank, waiting)?;
+        let key = queue.push(params, waiting)?;
         cell.queued.lock().push(key);
         self.note_count(&queue);
         self.filled.notify_one();
@@ -157,14 +157,14 @@
 }
 
 /// Places a waiting task now, or when there is room.
-pub fn enqueue(shared: &Arc<Shared>, cell: &Arc<JobCell>, task: TaskKey) {
+pub fn enqueue(shared: &Arc<Shared>, cell: &Arc<JobCell>, task: TaskAttempt) {
     let dispatch = &shared.dispatch;
     let behind_others = dispatch.waiting() > 0 && dispatch.has_others(cell);
     if !behind_others && !matches!(try_place(shared, cell, task), Tried::Wait { .. }) {
         return;
     }
     let waiting = Waiting { cell: Arc::clone(cell), task };
-    match dispatch.push(rank(shared, cell), waiting, shared.now_ms()) {
+    match dispatch.push(scheduling_params(shared, cell), waiting, shared.now_ms()) {
         // A slot may have been freed since there was none.
         Ok(()) => pump(shared),
         Err(waiting) => enqueue_after(shared, &waiting.cell, waiting.task, ASIDE_MS),
@@ -172,22 +172,22 @@
 }
 
 /// Places a waiting task after a pause.
-pub fn enqueue_after(shared: &Arc<Shared>, cell: &Arc<JobCell>, task: TaskKey, after_ms: u32) {
+pub fn enqueue_after(shared: &Arc<Shared>, cell: &Arc<JobCell>, task: TaskAttempt, after_ms: u32) {
     if after_ms == 0 {
         return enqueue(shared, cell, task);
     }
     let (shared, cell) = (Arc::clone(shared), Arc::clone(cell));
     tokio::spawn(async move {
         tokio::time::sleep(Duration::from_millis(after_ms.into())).await;
-        if cell.state.lock().wants(task) {
+        if cell.state.lock().is_waiting(task) {
             enqueue(&shared, &cell, task);
         }
     });
 }
 
-fn rank(shared: &Shared, cell: &JobCell) -> Rank {
+fn scheduling_params(shared: &Shared, cell: &JobCell) -> SchedulingParams {
     let numbers = numbers(shared, &cell.kind);
-    Rank {
+    SchedulingParams {
         organisation: cell.organisation.key,
         kind: cell.kind.key,
         urgency: cell.kind.urgency,
@@ -232,7 +232,7 @@
     let mut sent = 0;
     loop {
         let mut tried = Tried::Dropped;
-        let taken = queue.take(MAX_TRIES, |_, waiting| {
+        let taken = queue.take_first(MAX_TRIES, |_, waiting| {
             tried = try_place(shared, &waiting.cell, waiting.task);
             tried != Tried::Wait { restricted: false }
         });
@@ -271,16 +271,16 @@
         }
         give_up_late(&shared);
         give_up_evacuated(&shared);
-        doubt_full(&shared);
+        assume_slot_if_stale(&shared);
         pump(&shared);
     }
 }
 
 /// Tasks wait: upstreams reported full some time ago may be so no more.
-fn doubt_full(shared: &Shared) {
+fn assume_slot_if_stale(shared: &Shared) {
     let now_ms = shared.now_ms();
     let snapshot = shared.upstreams.snapshot();
-    snapshot.view.rows.iter().for_each(|row| row.live.doubt_full(now_ms));
+    snapshot.view.rows.iter().for_each(|row| row.live.assume_slot_if_stale(now_ms));
 }
 
 /// Data centres were evacuated or taken back.
@@ -298,20 +298,20 @@
     }
     let snapshot = shared.upstreams.snapshot();
     let is_nowhere = |cell: &JobCell| {
-        let ask = ask(shared, &cell.kind, &numbers(shared, &cell.kind), &[], &[]);
-        is_evacuated(&ask, &snapshot.view)
+        let query = placement_query(shared, &cell.kind, &numbers(shared, &cell.kind), &[], &[]);
+        is_evacuated(&query, &snapshot.view)
     };
     loop {
         let given_up = {
             let mut queue = shared.dispatch.queue.lock();
-            let given_up = queue.take(usize::MAX, |_, waiting| {
-                is_nowhere(&waiting.cell) && waiting.cell.state.lock().waits_whole()
+            let given_up = queue.take_first(usize::MAX, |_, waiting| {
+                is_nowhere(&waiting.cell) && waiting.cell.state.lock().is_entirely_waiting()
             });
             shared.dispatch.note_count(&queue);
             given_up
         };
         let Some((_, waiting)) = given_up else { return };
-        if waiting.cell.state.lock().wants(waiting.task) {
+        if waiting.cell.state.lock().is_waiting(waiting.task) {
             drive(shared, &waiting.cell, Event::GiveUp(Reason::Evacuated));
         }
     }
@@ -321,14 +321,14 @@
     loop {
         let late = {
             let mut queue = shared.dispatch.queue.lock();
-            let late = queue.take_late(shared.now_ms());
+            let late = queue.take_expired(shared.now_ms());
             shared.dispatch.note_count(&queue);
             late
         };
         let Some((_, waiting)) = late else {
             return;
         };
-        if waiting.cell.state.lock().wants(waiting.task) {
+        if waiting.cell.state.lock().is_waiting(waiting.task) {
             drive(shared, &waiting.cell, Event::GiveUp(Reason::DeadlineUnreachable));
         }
     }
