--- a/crates/agent/src/core.rs
+++ b/crates/agent/src/core.rs
@@ -236,7 +236,7 @@
             return;
         }
         let own_evacuated = self.update_tasks(|tasks, _| {
-            // Reads the merged list: two updates may arrive at the same time, and the newer one wins.
+            // Reads the merged list: of two concurrent updates the newer one counts.
             let evacuated = self.evacuations.borrow().contains(&self.identity.data_centre);
             let settled = tasks.gate.set_evacuated(evacuated);
             tasks.settle_all(settled);
--- a/crates/agent/src/leased/lease.rs
+++ b/crates/agent/src/leased/lease.rs
@@ -119,7 +119,7 @@
             }
             Err(CallError::Fenced { clock_ms }) => {
                 self.agent.update_ledger(|ledger, _| {
-                    ledger.handle_fence_refusal(outcome.fence, clock_ms)
+                    ledger.handle_fence_refusal(outcome.fence, clock_ms);
                 });
                 self.log_raised_fence(outcome.fence);
                 NextRenewal::After(Duration::ZERO)
--- a/crates/agent/src/leased/links/link.rs
+++ b/crates/agent/src/leased/links/link.rs
@@ -196,7 +196,7 @@
         match message {
             ToRunsAgent::Welcome { .. } => {}
             ToRunsAgent::Members(entries) => {
-                agent.links.set_named_by(self.peer, &entries, agent.clock.now_ms());
+                agent.links.set_listed_by(self.peer, &entries, agent.clock.now_ms());
             }
             ToRunsAgent::Place(placement) => {
                 agent.update_ledger(|ledger, now_ms| ledger.place(self.entry, placement, now_ms));
--- a/crates/agent/src/leased/links/mod.rs
+++ b/crates/agent/src/leased/links/mod.rs
@@ -91,7 +91,7 @@
     }
 
     /// Adds addresses at which entries may be reached.
-    pub(super) fn learn(&self, entries: &[SocketAddr], now_ms: u64) {
+    pub(super) fn add_entries(&self, entries: &[SocketAddr], now_ms: u64) {
         let mut known = self.known.lock();
         for &entry in entries {
             known.entries.entry(entry).or_default().named_ms = now_ms;
@@ -101,11 +101,11 @@
     }
 
     /// Stores the list of all entries that the entry `by` knows.
-    fn set_named_by(&self, by: SocketAddr, entries: &[SocketAddr], now_ms: u64) {
+    fn set_listed_by(&self, by: SocketAddr, entries: &[SocketAddr], now_ms: u64) {
         if let Some(by) = self.known.lock().entries.get_mut(&by) {
             by.names = entries.iter().copied().collect();
         }
-        self.learn(entries, now_ms);
+        self.add_entries(entries, now_ms);
     }
 
     /// Stores what a heartbeat of the entry `by` reports about the agent's pool.
--- a/crates/agent/src/leased/mod.rs
+++ b/crates/agent/src/leased/mod.rs
@@ -68,7 +68,7 @@
     /// Signals that another instance of the upstream is known.
     pub(crate) instance_changed: Notify,
     /// The last announced instance that has answered a renewal.
-    announced_instance: watch::Sender<Option<UpstreamInstance>>,
+    proven_instance: watch::Sender<Option<UpstreamInstance>>,
     /// Entries that the ledger dropped last because they were silent; links to them end.
     pub(crate) dropped_owners: watch::Sender<Vec<Incarnation>>,
     /// Requests an immediate renewal, whose answer lists the runs of the upstream.
@@ -103,7 +103,7 @@
             evacuations: Mutex::default(),
             changes: watch::Sender::new(0),
             instance_changed: Notify::new(),
-            announced_instance: watch::Sender::new(None),
+            proven_instance: watch::Sender::new(None),
             dropped_owners: watch::Sender::new(Vec::new()),
             renew_now: Notify::new(),
         });
@@ -123,7 +123,7 @@
 
     /// Adds addresses at which entries may be reached.
     pub fn add_entries(&self, entries: &[SocketAddr]) {
-        self.links.learn(entries, self.clock.now_ms());
+        self.links.add_entries(entries, self.clock.now_ms());
     }
 
     /// Returns the number of connected entries.
@@ -132,10 +132,10 @@
         self.links.connected()
     }
 
-    /// Returns a receiver of the last announced instance of the upstream.
+    /// Returns a receiver of the last announced instance that has answered a renewal.
     #[must_use]
     pub fn subscribe_instance(&self) -> watch::Receiver<Option<UpstreamInstance>> {
-        self.announced_instance.subscribe()
+        self.proven_instance.subscribe()
     }
 
     /// Handles an announcement of the upstream.
@@ -165,7 +165,7 @@
                 self.renew_now.notify_one();
             }
             AnnouncementOutcome::Ignored => {
-                event!(Info, "announcement_ignored", life = id, pool = pool)
+                event!(Info, "announcement_ignored", life = id, pool = pool);
             }
         }
     }
@@ -173,7 +173,7 @@
     /// Handles an instance's notice that it stays slow after its start for `left_ms` more.
     pub fn upstream_cold(self: &Arc<Self>, instance: InstanceId, left_ms: u64) {
         self.update_ledger(|ledger, now_ms| {
-            ledger.handle_cold_announcement(instance, left_ms, now_ms)
+            ledger.handle_cold_announcement(instance, left_ms, now_ms);
         });
     }
 
@@ -214,7 +214,7 @@
             return;
         }
         let is_evacuated = self.update_ledger(|ledger, _| {
-            // Reads the merged list: two updates may arrive at the same time, and the newer one wins.
+            // Reads the merged list: of two concurrent updates the newer one counts.
             let is_evacuated = self.evacuations.lock().contains(&self.settings.data_centre);
             ledger.set_evacuated(is_evacuated);
             is_evacuated
@@ -272,7 +272,7 @@
     /// Publishes the announced instance once it has answered a renewal.
     fn publish_instance(&self, ledger: &Ledger) {
         let Some(instance) = ledger.proven_instance() else { return };
-        self.announced_instance.send_if_modified(|published| {
+        self.proven_instance.send_if_modified(|published| {
             let is_changed = published.as_ref() != Some(instance);
             if is_changed {
                 *published = Some(instance.clone());
--- a/crates/agent/tests/place.rs
+++ b/crates/agent/tests/place.rs
@@ -1,4 +1,4 @@
-//! Placements: a task starts once, copies join it, and replies tell how it ended.
+//! Placements: a task starts once, copies join it, and replies say how it ended.
 
 mod support;
 
--- a/crates/agent/tests/revoke.rs
+++ b/crates/agent/tests/revoke.rs
@@ -96,9 +96,9 @@
     let jobs = (1..=4).map(|sequence| task(sequence).job).collect();
     let fenced = cluster.entry.call(&ToAgent::Fence { home: HOME, jobs }).await;
     let AgentReplyBody::Fenced(jobs) = fenced.body else { panic!("{fenced:?}") };
-    let told = |job: &FencedJob| (job.tasks[0].task, job.tasks[0].record.clone());
-    let told: Vec<_> = jobs.iter().map(told).collect();
-    assert_eq!(told, [(task(1), TaskRecord::Ended(end)), (task(2), TaskRecord::Running)]);
+    let first_report = |job: &FencedJob| (job.tasks[0].task, job.tasks[0].record.clone());
+    let reports: Vec<_> = jobs.iter().map(first_report).collect();
+    assert_eq!(reports, [(task(1), TaskRecord::Ended(end)), (task(2), TaskRecord::Running)]);
     assert_eq!(not_started(queued.await.unwrap()), (Reason::Fenced, true));
     let reply = cluster.entry.place(&cluster.placement(5, "{}")).await;
     assert_eq!(not_started(reply), (Reason::Fenced, true));
--- a/crates/agent/tests/sessions.rs
+++ b/crates/agent/tests/sessions.rs
@@ -22,8 +22,8 @@
     assert_eq!((hello.upstream, hello.load.slots), (None, 0));
     assert_eq!(hello.agent.incarnation, agent.incarnation());
     let _upstream = support::start_upstream(&agent, 3).await;
-    let told = || entry.last_hello().is_some_and(|hello| hello.load.slots == 3);
-    wait_until("told", told).await;
+    let is_updated = || entry.last_hello().is_some_and(|hello| hello.load.slots == 3);
+    wait_until("the entry knows the slots", is_updated).await;
     let upstream = entry.last_hello().unwrap().upstream.unwrap();
     assert_eq!((upstream.name.as_str(), upstream.slots), ("upstream", 3));
 }
--- a/crates/agent/tests/stop.rs
+++ b/crates/agent/tests/stop.rs
@@ -25,7 +25,8 @@
     let entry = cluster.entry;
     let stopping = tokio::spawn(cluster.agent.stop());
     assert_eq!(not_started(queued.await.unwrap()), (Reason::Draining, true));
-    wait_until("told", || entry.last_hello().is_some_and(|hello| hello.load.leaving)).await;
+    wait_until("the entry knows", || entry.last_hello().is_some_and(|hello| hello.load.leaving))
+        .await;
     assert_eq!(not_started(entry.place(&refused).await), (Reason::Draining, true));
     let reply = running.await.unwrap();
     assert!(matches!(reply, AgentReplyBody::Ended { end: TaskEnd::Finished(_), .. }), "{reply:?}");
@@ -46,8 +47,8 @@
     wait_until("queued", || cluster.agent.counts().queued == 1).await;
     cluster.upstream.leave().await.unwrap();
     assert_eq!(not_started(queued.await.unwrap()), (Reason::Leaving, false));
-    let told = || cluster.entry.last_hello().is_some_and(|hello| hello.load.leaving);
-    wait_until("the entry is told", told).await;
+    let is_informed = || cluster.entry.last_hello().is_some_and(|hello| hello.load.leaving);
+    wait_until("the entry knows", is_informed).await;
     assert_eq!(cluster.get("/ready").await.0, 503);
     let reply = cluster.entry.place(&cluster.placement(3, "{}")).await;
     assert_eq!(not_started(reply), (Reason::Leaving, false));
@@ -61,8 +62,8 @@
     let running = cluster.entry.spawn_place(&cluster.placement(1, SLOW)).await;
     cluster.wait_until_started(1).await;
     cluster.upstream.stop().await;
-    let told = || cluster.entry.last_hello().is_some_and(|hello| hello.load.leaving);
-    wait_until("the entry is told", told).await;
+    let is_informed = || cluster.entry.last_hello().is_some_and(|hello| hello.load.leaving);
+    wait_until("the entry knows", is_informed).await;
     let late = support::placement(cluster.agent.incarnation(), 2, "{}");
     assert_eq!(not_started(cluster.entry.place(&late).await), (Reason::Leaving, false));
     assert_eq!(running.await.unwrap(), AgentReplyBody::Broken(Reason::UpstreamBroken));
--- a/crates/agent/tests/support/mod.rs
+++ b/crates/agent/tests/support/mod.rs
@@ -202,8 +202,8 @@
     }
 
     pub async fn wait_until_slots(&self, slots: u16) {
-        let told = || self.entry.last_hello().is_some_and(|hello| hello.load.slots == slots);
-        wait_until("the entry is told the slots", told).await;
+        let is_informed = || self.entry.last_hello().is_some_and(|hello| hello.load.slots == slots);
+        wait_until("the entry knows the slots", is_informed).await;
     }
 
     pub fn placement(&self, sequence: u64, payload: &str) -> Placement {
