--- a/crates/decide/src/gate.rs
+++ b/crates/decide/src/gate.rs
@@ -67,10 +67,11 @@
 /// again for fewer jobs.
 pub const REPLY_RESULT_BYTES: usize = 6 * 1024 * 1024;
 
-/// Retry delay told while no run time is known.
+/// Retry delay while no run time is known, in milliseconds.
 const DEFAULT_RETRY_AFTER_MS: u32 = 50;
+/// Longest retry delay, in milliseconds.
 const MAX_RETRY_AFTER_MS: u64 = 5_000;
-/// The mean run time is an exponential average with weight 1/8 for a new sample.
+/// The mean run time is an exponential average in which a new sample has weight 1/8.
 const RUN_TIME_SAMPLES: u64 = 8;
 /// One part in this many of the record memory is reserved for tombstones.
 const TOMBSTONE_DIVISOR: u64 = 8;
--- a/crates/decide/src/placement/random.rs
+++ b/crates/decide/src/placement/random.rs
@@ -16,7 +16,7 @@
 
 /// Chooses an upstream with room, each with the same probability.
 ///
-/// If the random tries find none, it falls back to [`least_wait`].
+/// If the random tries find none, it falls back to [`least_wait()`].
 pub fn random(
     view: &View,
     query: &PlacementQuery<'_>,
--- a/crates/decide/tests/fence_model.rs
+++ b/crates/decide/tests/fence_model.rs
@@ -300,7 +300,7 @@
             PlacementDecision::Start(start) => self.start(at, &start),
             PlacementDecision::Queued { .. } | PlacementDecision::Joined => {}
             PlacementDecision::Settled(body) => {
-                self.reply(at, &[SettledTask { task, reply: body }])
+                self.reply(at, &[SettledTask { task, reply: body }]);
             }
             PlacementDecision::Refused(refusal) => {
                 agent.waiters.retain(|waiter| *waiter != (task, job, key));
