--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -159,7 +159,7 @@
 }
 
 fn open_endpoint(settings: &AgentSettings) -> eyre::Result<Endpoint> {
-    let keys = ProcessKeys::read(&settings.keys.authority_pem, &settings.keys.own())?;
+    let keys = ProcessKeys::read(&settings.keys.authority_pem, &settings.keys.pem_pair())?;
     // Heartbeats keep a session alive and carry the load. QUIC keep-alive packets are sent only
     // when a heartbeat is late.
     let keep_alive_ms = settings.heartbeat_ms / 2 + settings.idle_timeout_ms / 2;
--- a/crates/cli/src/commands/check.rs
+++ b/crates/cli/src/commands/check.rs
@@ -57,8 +57,8 @@
     };
     match loaded {
         Ok(()) => Ok(Vec::new()),
-        Err(LoadError::Check(_, errors)) => Ok(errors.errors),
-        Err(LoadError::Read(path, err)) => Err(CliError::Read(path, err)),
+        Err(LoadError::Invalid(_, errors)) => Ok(errors.errors),
+        Err(LoadError::Unreadable(path, err)) => Err(CliError::Read(path, err)),
     }
 }
 
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -45,16 +45,16 @@
 #[derive(Debug)]
 pub enum LoadError {
     /// The file could not be read.
-    Read(PathBuf, io::Error),
+    Unreadable(PathBuf, io::Error),
     /// The file was read, and its content is refused.
-    Check(PathBuf, SettingsErrors),
+    Invalid(PathBuf, SettingsErrors),
 }
 
 impl fmt::Display for LoadError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Read(path, err) => write!(f, "cannot read {}: {err}", path.display()),
-            Self::Check(path, errors) => write!(f, "{}: {errors}", path.display()),
+            Self::Unreadable(path, err) => write!(f, "cannot read {}: {err}", path.display()),
+            Self::Invalid(path, errors) => write!(f, "{}: {errors}", path.display()),
         }
     }
 }
--- a/crates/settings/src/keys.rs
+++ b/crates/settings/src/keys.rs
@@ -30,7 +30,7 @@
 impl KeySettings {
     /// The process's own certificate and key.
     #[must_use]
-    pub fn own(&self) -> PemPair {
+    pub fn pem_pair(&self) -> PemPair {
         PemPair {
             certificate_pem: self.certificate_pem.clone(),
             key_pem: self.private_key_pem.clone(),
@@ -45,7 +45,7 @@
         };
         let resolved = [&keys.authority_pem, &keys.certificate_pem, &keys.private_key_pem];
         if resolved.iter().all(|pem| !pem.is_empty())
-            && let Err(err) = ProcessKeys::read(&keys.authority_pem, &keys.own())
+            && let Err(err) = ProcessKeys::read(&keys.authority_pem, &keys.pem_pair())
         {
             reader.fail(
                 "certificate_pem",
--- a/crates/settings/src/load.rs
+++ b/crates/settings/src/load.rs
@@ -11,8 +11,8 @@
     read: impl FnOnce(&str) -> Result<T, SettingsErrors>,
 ) -> Result<T, LoadError> {
     let yaml =
-        std::fs::read_to_string(path).map_err(|err| LoadError::Read(path.to_owned(), err))?;
-    read(&yaml).map_err(|errors| LoadError::Check(path.to_owned(), errors))
+        std::fs::read_to_string(path).map_err(|err| LoadError::Unreadable(path.to_owned(), err))?;
+    read(&yaml).map_err(|errors| LoadError::Invalid(path.to_owned(), errors))
 }
 
 /// Looks up a variable of the process's environment.
