--- a/crates/settings/src/agent.rs
+++ b/crates/settings/src/agent.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        entry::{LOG_LEVELS, LONGEST_DEADLINE_MS, MAX_RETENTION_MS},
+        entry::{LOG_LEVELS, MAX_DEADLINE_MS, MAX_RETENTION_MS},
         error::{LoadError, SettingsErrors},
         keys::KeySettings,
         load,
@@ -12,7 +12,7 @@
     std::{net::SocketAddr, path::Path},
 };
 
-/// Default of `retention_ms`: the entries' default and the time of one drain.
+/// Default of `retention_ms`: the entries' default plus the time for one drain.
 pub const DEFAULT_RETENTION_MS: u32 = 150_000;
 /// Default of `kept_result_bytes`.
 pub const DEFAULT_KEPT_RESULT_BYTES: u64 = 32 * MIB;
@@ -34,39 +34,40 @@
 /// Settings of an agent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AgentSettings {
-    /// Name, the same over restarts and unique in the cluster.
+    /// Name; unique in the cluster and unchanged across restarts.
     pub name: String,
     /// Data centre.
     pub data_centre: String,
     /// Rack.
     pub rack: String,
-    /// Address for the upstream's announcements, health and metrics.
+    /// HTTP address for the upstream's announcements, health and metrics.
     pub http_address: SocketAddr,
     /// Address of the inner protocol.
     pub inner_address: SocketAddr,
-    /// Entries to dial at start; more are learnt from them.
+    /// Entries to connect to at start; the agent learns of other entries from them.
     pub entries: Vec<SocketAddr>,
     /// Keys of the inner protocol.
     pub keys: KeySettings,
-    /// How long starts, tombstones and results are kept; not below the entries' retention.
+    /// How long the agent keeps start records, tombstones and results. Must not be shorter than the
+    /// entries' retention.
     pub retention_ms: u32,
-    /// Most bytes of kept results.
+    /// Maximum size of all kept results.
     pub kept_result_bytes: u64,
-    /// Most bytes of start records; beyond it placements are refused.
+    /// Maximum size of all start records; the agent rejects placements beyond it.
     pub record_bytes: u64,
-    /// Most tasks that may wait for a slot.
+    /// Maximum number of tasks that wait for a slot.
     pub max_queued: u16,
-    /// An upstream not heard of for this long takes no new work.
+    /// An upstream that has not announced itself for this long gets no new tasks.
     pub upstream_lease_ms: u32,
-    /// Pause between heartbeats of an idle pair.
+    /// Interval between heartbeats on an idle session.
     pub heartbeat_ms: u32,
-    /// An inner session without a packet for this long is dead.
+    /// An inner session that receives no packet for this long is closed.
     pub idle_timeout_ms: u32,
-    /// Longest wait for tasks in flight at a planned stop.
+    /// Maximum time that a planned stop waits for tasks in flight.
     pub drain_ms: u32,
     /// Log level: error, warn, info, debug, trace.
     pub log_level: String,
-    /// A broken invariant ends the process.
+    /// Whether a violated invariant ends the process.
     pub fatal_invariants: bool,
 }
 
@@ -75,7 +76,7 @@
     ///
     /// # Errors
     ///
-    /// All fields that are unknown, missing, of the wrong type or out of range.
+    /// Lists all fields that are unknown, missing, of the wrong type or out of range.
     pub fn read(yaml: &str, env: Env<'_>) -> Result<Self, SettingsErrors> {
         reader::document(yaml, env, Self::read_fields)
     }
@@ -84,13 +85,13 @@
     ///
     /// # Errors
     ///
-    /// When the file cannot be read or its content is refused.
+    /// The file cannot be read, or its content is invalid.
     pub fn load(path: &Path) -> Result<Self, LoadError> {
         load::load(path, |yaml| Self::read(yaml, &load::process_env))
     }
 
     fn read_fields(reader: &Reader<'_>) -> Self {
-        let lasting_ms = LONGEST_DEADLINE_MS..=MAX_RETENTION_MS;
+        let lasting_ms = MAX_DEADLINE_MS..=MAX_RETENTION_MS;
         let settings = Self {
             name: reader.text("name", NAME),
             data_centre: reader.text("data_centre", NAME),
@@ -139,7 +140,7 @@
             self.heartbeat_ms < self.idle_timeout_ms,
             "heartbeat_ms",
             format!("found {} with idle_timeout_ms {}", self.heartbeat_ms, self.idle_timeout_ms),
-            "less than idle_timeout_ms, else idle sessions die",
+            "less than idle_timeout_ms, otherwise idle sessions time out",
         );
     }
 }
--- a/crates/settings/src/entry.rs
+++ b/crates/settings/src/entry.rs
@@ -11,13 +11,13 @@
     std::{fmt, net::SocketAddr, path::Path},
 };
 
-/// Longest deadline of a kind. Retention and drain are never shorter: a job
-/// must not outlive its id, and a planned stop must not cut it.
-pub const LONGEST_DEADLINE_MS: u32 = 60_000;
-/// Longest retention.
+/// Maximum deadline of a kind. Retention and drain must not be shorter: a job must not outlive its
+/// id, and a planned stop must not cut it off.
+pub const MAX_DEADLINE_MS: u32 = 60_000;
+/// Maximum retention time.
 pub const MAX_RETENTION_MS: u32 = 3_600_000;
-/// Shortest secret of a cluster, in bytes.
-pub const MIN_SECRET_BYTES: usize = 16;
+/// Minimum length of the cluster secret, in bytes.
+pub const MIN_CLUSTER_SECRET_BYTES: usize = 16;
 
 /// Default of `limits.max_body_bytes`.
 pub const DEFAULT_MAX_BODY_BYTES: u64 = MIB;
@@ -50,7 +50,7 @@
 /// Default of `platform.lease_ms`.
 pub const DEFAULT_LEASE_MS: u32 = 10_000;
 
-/// Words of `log_level`; the default is info.
+/// Values of `log_level`.
 pub(crate) const LOG_LEVELS: &[(&str, &str)] = &[
     ("error", "error"),
     ("warn", "warn"),
@@ -65,83 +65,83 @@
 /// Settings of an entry.
 #[derive(Clone, PartialEq, Eq)]
 pub struct EntrySettings {
-    /// Name, the same over restarts and unique in the cluster.
+    /// Name; unique in the cluster and unchanged across restarts.
     pub name: String,
     /// Data centre.
     pub data_centre: String,
-    /// Address for callers, operators, health and metrics.
+    /// HTTP address for callers, operators, health and metrics.
     pub http_address: SocketAddr,
     /// Address of the inner protocol.
     pub inner_address: SocketAddr,
-    /// Address of the inner protocol as others dial it and ids name it, where
-    /// it is not the own one.
+    /// Address of the inner protocol that peers dial and that ids contain, if it differs from
+    /// `inner_address`.
     pub advertised_address: Option<SocketAddr>,
-    /// Other entries' inner addresses, for a start while the platform is out.
+    /// Inner addresses of other entries, used to start while the platform is unavailable.
     pub peers: Vec<SocketAddr>,
-    /// The platform's service.
+    /// Access to the platform's service.
     pub platform: PlatformSettings,
     /// Keys of the inner protocol.
     pub keys: KeySettings,
-    /// Secret with which ids are tagged, the same on all entries.
+    /// Secret that authenticates ids; the same on all entries.
     pub cluster_secret: String,
     /// Operators who may call the administration API.
     pub operators: Vec<TokenSettings>,
-    /// Bounds of memory and time.
+    /// Limits on memory and time.
     pub limits: LimitSettings,
     /// Log level: error, warn, info, debug, trace.
     pub log_level: String,
-    /// A broken invariant ends the process.
+    /// Whether a violated invariant ends the process.
     pub fatal_invariants: bool,
 }
 
-/// The platform's service, as one entry uses it.
+/// How an entry uses the platform's service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlatformSettings {
     /// Base URL.
     pub url: String,
-    /// Longest wait for an answer.
+    /// Timeout of a call.
     pub timeout_ms: u32,
-    /// Most calls a second of this entry, waiting watch included.
+    /// Maximum calls per second by this entry, including the pending watch call.
     pub call_budget_per_s: u32,
-    /// Of these, most for binding callers' own keys.
+    /// The part of `call_budget_per_s` that may be used to bind keys chosen by callers.
     pub key_budget_per_s: u32,
-    /// Pause between polls behind the watch.
+    /// Interval between the polls that back up the watch.
     pub poll_ms: u32,
     /// Lifetime of the entry's lease.
     pub lease_ms: u32,
 }
 
-/// A named token, as its SHA-256 in hexadecimal.
+/// The name and hash of a token.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TokenSettings {
-    /// Whose it is; named in history and logs.
+    /// Name of the token's owner, shown in history and logs.
     pub name: String,
     /// SHA-256 of the token, 64 hexadecimal digits.
     pub token_sha256: String,
 }
 
-/// Bounds of memory and time of an entry.
+/// Limits on memory and time of an entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LimitSettings {
-    /// Largest body accepted.
+    /// Maximum size of a request body.
     pub max_body_bytes: u64,
-    /// Most ids in one reservation.
+    /// Maximum number of ids in one reservation.
     pub max_reserved_ids: u32,
-    /// How long ids and keys are valid and answers kept.
+    /// How long ids and keys stay valid and answers are kept.
     pub retention_ms: u32,
-    /// Most bytes of job records; beyond it submissions are refused.
+    /// Maximum size of all job records; the entry rejects submissions beyond it.
     pub record_bytes: u64,
-    /// Most bytes of kept answers; beyond it the oldest results are dropped.
+    /// Maximum size of all kept answers; beyond it the entry drops the oldest results.
     pub kept_answer_bytes: u64,
-    /// Most tasks that may wait at the entry.
+    /// Maximum number of tasks that wait at the entry.
     pub max_queued_tasks: u32,
-    /// A home not reached for this long is taken as lost.
+    /// A job's home entry that has been unreachable for this long counts as lost.
     pub lost_after_ms: u32,
-    /// Silence of a session with outstanding work before it is probed.
+    /// A session with outstanding work that is silent for this long is probed.
     pub probe_after_ms: u32,
-    /// An inner session without a packet for this long is dead.
+    /// An inner session that receives no packet for this long is closed.
     pub idle_timeout_ms: u32,
-    /// Longest wait for requests in flight at a planned stop.
+    /// Maximum time that a planned stop waits for requests in flight.
     pub drain_ms: u32,
 }
 
@@ -162,7 +162,7 @@
     ///
     /// # Errors
     ///
-    /// All fields that are unknown, missing, of the wrong type or out of range.
+    /// Lists all fields that are unknown, missing, of the wrong type or out of range.
     pub fn read(yaml: &str, env: Env<'_>) -> Result<Self, SettingsErrors> {
         reader::document(yaml, env, Self::read_fields)
     }
@@ -171,7 +171,7 @@
     ///
     /// # Errors
     ///
-    /// When the file cannot be read or its content is refused.
+    /// The file cannot be read, or its content is invalid.
     pub fn load(path: &Path) -> Result<Self, LoadError> {
         load::load(path, |yaml| Self::read(yaml, &load::process_env))
     }
@@ -199,10 +199,10 @@
     fn check(&self, reader: &Reader<'_>) {
         reader.require(
             &["cluster_secret", "cluster_secret_env"],
-            self.cluster_secret.len() >= MIN_SECRET_BYTES,
+            self.cluster_secret.len() >= MIN_CLUSTER_SECRET_BYTES,
             "cluster_secret",
             format!("found {} bytes", self.cluster_secret.len()),
-            format!("at least {MIN_SECRET_BYTES} bytes, as `sycamorerail keys token` prints them"),
+            format!("at least {MIN_CLUSTER_SECRET_BYTES} bytes, as `sycamorerail keys token` prints them"),
         );
         let own_address = self.advertised_address.unwrap_or(self.inner_address);
         reader.require(
@@ -248,7 +248,7 @@
             settings.timeout_ms < settings.lease_ms,
             "timeout_ms",
             format!("found {} with lease_ms {}", settings.timeout_ms, settings.lease_ms),
-            "less than lease_ms, else one slow renewal loses the lease",
+            "less than lease_ms, otherwise one slow renewal loses the lease",
         );
         settings
     }
@@ -294,9 +294,9 @@
     fn read(reader: &Reader<'_>) -> Self {
         let default = Self::default();
         let bytes = MIB..=4096 * MIB;
-        let lasting_ms = LONGEST_DEADLINE_MS..=MAX_RETENTION_MS;
+        let lasting_ms = MAX_DEADLINE_MS..=MAX_RETENTION_MS;
         let limits = Self {
-            // An inner message holds a whole body, so it is bounded by that.
+            // An inner message carries a whole body, so its size limits the body's.
             max_body_bytes: reader.number("max_body_bytes", default.max_body_bytes, 1..=4 * MIB),
             max_reserved_ids: reader.number(
                 "max_reserved_ids",
@@ -328,7 +328,7 @@
                 "found {} with idle_timeout_ms {}",
                 limits.probe_after_ms, limits.idle_timeout_ms
             ),
-            "less than idle_timeout_ms, else a session dies before it is probed",
+            "less than idle_timeout_ms, otherwise a session times out before it is probed",
         );
         limits
     }
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of settings: all of a text at once, each with the path of its field.
+//! Errors in settings. All errors of a document are reported together, each with its field's path.
 
 use {
     serde::{Deserialize, Serialize},
@@ -8,11 +8,11 @@
 /// What is wrong with one field.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FieldError {
-    /// Path of the field, as `limits.retention_ms` or `kinds[0].name`.
+    /// Path of the field, such as `limits.retention_ms` or `kinds[0].name`.
     pub path: String,
-    /// What was found; never the text of a secret.
+    /// What was found. Never contains a secret.
     pub problem: String,
-    /// What is allowed there.
+    /// The allowed values.
     pub allowed: String,
 }
 
@@ -22,10 +22,10 @@
     }
 }
 
-/// All that is wrong with a text of settings; never empty.
+/// All errors of one document; never empty.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SettingsErrors {
-    /// One error a field, in the order of reading.
+    /// Errors in the order in which the fields were read.
     pub errors: Vec<FieldError>,
 }
 
@@ -41,12 +41,12 @@
 
 impl std::error::Error for SettingsErrors {}
 
-/// A file of settings could not be taken.
+/// A settings file could not be loaded.
 #[derive(Debug)]
 pub enum LoadError {
     /// The file could not be read.
     Unreadable(PathBuf, io::Error),
-    /// The file was read, and its content is refused.
+    /// The file was read, but its content is invalid.
     Invalid(PathBuf, SettingsErrors),
 }
 
--- a/crates/settings/src/keys.rs
+++ b/crates/settings/src/keys.rs
@@ -1,6 +1,6 @@
-//! Keys of a process: PEM text inline, from a file, or from the environment.
+//! TLS keys of a process: PEM text inline, from a file or from the environment.
 //!
-//! Each is given in exactly one of three forms: `authority_pem`,
+//! Each key is given in exactly one of three forms: `authority_pem`,
 //! `authority_path` or `authority_env`, and so on. Paths are relative to the
 //! working directory.
 
@@ -10,10 +10,10 @@
     sycamorerail_wire::keys::{PemPair, ProcessKeys},
 };
 
-/// Keys of the inner protocol, as resolved PEM text.
+/// PEM text of the keys for the inner protocol, which entries and agents speak to each other.
 #[derive(Clone, PartialEq, Eq)]
 pub struct KeySettings {
-    /// Certificate of the cluster's authority.
+    /// Certificate of the cluster's certificate authority.
     pub authority_pem: String,
     /// Certificate of this process.
     pub certificate_pem: String,
@@ -28,7 +28,7 @@
 }
 
 impl KeySettings {
-    /// The process's own certificate and key.
+    /// Returns the certificate and private key of this process.
     #[must_use]
     pub fn pem_pair(&self) -> PemPair {
         PemPair {
@@ -47,7 +47,7 @@
         if resolved.iter().all(|pem| !pem.is_empty())
             && let Err(err) = ProcessKeys::read(&keys.authority_pem, &keys.pem_pair())
         {
-            reader.fail(
+            reader.add_error(
                 "certificate_pem",
                 format!("the keys cannot be used: {err}"),
                 "PEM text as `sycamorerail keys issue` writes it",
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,7 +1,7 @@
-//! Checked settings: of each binary, and the templates of organisations.
+//! Reads and validates the settings of each binary and the templates of organisations.
 //!
-//! YAML in; a struct with units in its field names out, or all errors at once,
-//! each with the path of its field and what is allowed there.
+//! Each reader takes YAML text and returns a struct whose field names carry their units, or all
+//! errors of the text at once, each with the path of its field and the allowed values.
 
 pub mod agent;
 pub mod entry;
--- a/crates/settings/src/load.rs
+++ b/crates/settings/src/load.rs
@@ -1,11 +1,11 @@
-//! Reading of files of settings.
+//! Loads settings files.
 
 use {
     crate::error::{LoadError, SettingsErrors},
     std::path::Path,
 };
 
-/// Reads the file at `path` and checks it with `read`.
+/// Reads the file at `path` and parses its content with `read`.
 pub(crate) fn load<T>(
     path: &Path,
     read: impl FnOnce(&str) -> Result<T, SettingsErrors>,
@@ -15,7 +15,7 @@
     read(&yaml).map_err(|errors| LoadError::Invalid(path.to_owned(), errors))
 }
 
-/// Looks up a variable of the process's environment.
+/// Returns a variable of the process's environment, or `None` if it is unset or not UTF-8.
 #[must_use]
 pub fn process_env(name: &str) -> Option<String> {
     std::env::var(name).ok()
--- a/crates/settings/src/reader.rs
+++ b/crates/settings/src/reader.rs
@@ -1,8 +1,8 @@
-//! Walks a YAML document and collects every error in it.
+//! Reads a YAML document and collects all errors in it.
 //!
-//! Each method reads one field and notes its name as known. On an error it
-//! records it and returns a stand-in, so that the walk goes on; the document
-//! is refused as a whole at its end.
+//! Each method reads one field and records its name as known. On an error the method records the
+//! error and returns a placeholder, so that reading continues; at the end a document with errors
+//! is rejected as a whole.
 
 use {
     crate::{
@@ -18,16 +18,16 @@
     },
 };
 
-/// Most characters of a refused text that an error repeats.
+/// Maximum number of characters of an invalid text that an error quotes.
 const MAX_FOUND_CHARS: usize = 60;
 
-/// Path of errors that concern the text as a whole.
+/// Path of errors that concern the whole document.
 pub const DOCUMENT_PATH: &str = "document";
 
 /// Looks up an environment variable.
 pub type Env<'a> = &'a dyn Fn(&str) -> Option<String>;
 
-/// Reader of one mapping of the document.
+/// Reads one mapping of the document.
 pub(crate) struct Reader<'a> {
     path: String,
     fields: Option<&'a Mapping>,
@@ -41,20 +41,20 @@
     errors: RefCell<Vec<FieldError>>,
 }
 
-/// Reads a whole document with `read`, or tells all its errors.
+/// Reads a whole document with `read`, or returns all its errors.
 pub(crate) fn document<T>(
     yaml: &str,
     env: Env<'_>,
     read: impl FnOnce(&Reader<'_>) -> T,
 ) -> Result<T, SettingsErrors> {
-    let value: Value = serde_norway::from_str(yaml).map_err(|err| not_yaml(&err))?;
+    let value: Value = serde_norway::from_str(yaml).map_err(|err| yaml_error(&err))?;
     let shared = Shared { env, errors: RefCell::default() };
-    let settings = Reader::new(String::new(), Some(&value), &shared).finish(read);
+    let settings = Reader::new(String::new(), Some(&value), &shared).read_with(read);
     let errors = shared.errors.into_inner();
     if errors.is_empty() { Ok(settings) } else { Err(SettingsErrors { errors }) }
 }
 
-fn not_yaml(err: &serde_norway::Error) -> SettingsErrors {
+fn yaml_error(err: &serde_norway::Error) -> SettingsErrors {
     let error = FieldError {
         path: DOCUMENT_PATH.to_owned(),
         problem: err.to_string(),
@@ -73,29 +73,29 @@
             Some(other) => {
                 let path =
                     if reader.path.is_empty() { DOCUMENT_PATH } else { reader.path.as_str() };
-                reader.record(path.to_owned(), found(other), "a mapping".to_owned());
+                reader.push_error(path.to_owned(), describe(other), "a mapping".to_owned());
                 Self { is_mapping: false, ..reader }
             }
         }
     }
 
-    /// Reads all fields with `read`, then refuses those that it did not ask for.
-    /// A value that is no mapping has just that one error, not one a field.
-    fn finish<T>(self, read: impl FnOnce(&Reader<'_>) -> T) -> T {
+    /// Reads all fields with `read`, then records an error for each field that `read` did not ask
+    /// for. A value that is not a mapping yields only that error, not one for each field.
+    fn read_with<T>(self, read: impl FnOnce(&Reader<'_>) -> T) -> T {
         let errors_before = self.shared.errors.borrow().len();
         let settings = read(&self);
         if self.is_mapping {
-            self.refuse_unknown();
+            self.reject_unknown_fields();
         } else {
             self.shared.errors.borrow_mut().truncate(errors_before);
         }
         settings
     }
 
-    /// Reads a text that must be there.
+    /// Reads a required text.
     pub(crate) fn text(&self, name: &str, rule: TextRule) -> String {
-        match self.take(name) {
-            None => self.missing(name, rule.allowed),
+        match self.lookup(name) {
+            None => self.add_missing(name, rule.allowed),
             Some(value) => self.checked_text(name, value, rule),
         }
         .unwrap_or_default()
@@ -107,16 +107,16 @@
         self.items(name).into_iter().filter_map(read).collect()
     }
 
-    /// Reads an IP address and port that must be there.
+    /// Reads a required IP address and port.
     pub(crate) fn address(&self, name: &str) -> SocketAddr {
-        match self.take(name) {
-            None => self.missing(name, ADDRESS_ALLOWED),
+        match self.lookup(name) {
+            None => self.add_missing(name, ADDRESS_ALLOWED),
             Some(value) => self.checked_address(name, value),
         }
         .unwrap_or(SocketAddr::new(Ipv4Addr::UNSPECIFIED.into(), 0))
     }
 
-    /// Reads an address that peers dial, and that so must name one machine.
+    /// Reads a required address that peers dial; it must not be the unspecified address.
     pub(crate) fn dialled_address(&self, name: &str) -> SocketAddr {
         let address = self.address(name);
         let problem = format!("found {address}, which peers cannot dial");
@@ -125,12 +125,12 @@
         address
     }
 
-    /// The same, if it is there.
+    /// Reads an optional address that peers dial.
     pub(crate) fn optional_dialled_address(&self, name: &str) -> Option<SocketAddr> {
-        self.has(name).then(|| self.dialled_address(name))
+        self.is_present(name).then(|| self.dialled_address(name))
     }
 
-    /// Reads a list of addresses, each at most once.
+    /// Reads a list of distinct addresses.
     pub(crate) fn addresses(&self, name: &str) -> Vec<SocketAddr> {
         let mut list = Vec::new();
         for (path, value) in self.items(name) {
@@ -138,19 +138,19 @@
                 continue;
             };
             if list.contains(&address) {
-                self.fail(&path, format!("found {address} again"), "each address once");
+                self.add_error(&path, format!("found {address} again"), "each address once");
             }
             list.push(address);
         }
         list
     }
 
-    /// Reads a whole number, or takes the default.
+    /// Reads a whole number, or returns the default if it is missing.
     pub(crate) fn number<T>(&self, name: &str, default: T, range: RangeInclusive<T>) -> T
     where
         T: Copy + Display + PartialOrd + TryFrom<u64>,
     {
-        let Some(value) = self.take(name) else {
+        let Some(value) = self.lookup(name) else {
             return default;
         };
         let number = value.as_u64().and_then(|number| T::try_from(number).ok());
@@ -158,53 +158,53 @@
             Some(number) => number,
             None => {
                 let allowed = format!("a whole number from {} to {}", range.start(), range.end());
-                self.fail(name, found(value), allowed);
+                self.add_error(name, describe(value), allowed);
                 default
             }
         }
     }
 
-    /// Reads a whole number that may be left out.
+    /// Reads an optional whole number.
     pub(crate) fn optional_number<T>(&self, name: &str, range: RangeInclusive<T>) -> Option<T>
     where
         T: Copy + Display + PartialOrd + TryFrom<u64>,
     {
-        self.has(name).then(|| self.number(name, *range.start(), range))
+        self.is_present(name).then(|| self.number(name, *range.start(), range))
     }
 
-    /// Reads true or false, or takes the default.
+    /// Reads true or false, or returns the default if it is missing.
     pub(crate) fn switch(&self, name: &str, default: bool) -> bool {
-        match self.take(name) {
+        match self.lookup(name) {
             None => default,
             Some(Value::Bool(on)) => *on,
             Some(other) => {
-                self.fail(name, found(other), "true or false");
+                self.add_error(name, describe(other), "true or false");
                 default
             }
         }
     }
 
-    /// Reads one of several words, or takes the default.
+    /// Reads one of several words, or returns the default if it is missing.
     pub(crate) fn choice<T: Copy>(&self, name: &str, default: T, choices: &[(&str, T)]) -> T {
-        let Some(value) = self.take(name) else {
+        let Some(value) = self.lookup(name) else {
             return default;
         };
         match choices.iter().find(|(word, _)| value.as_str() == Some(word)) {
             Some(&(_, choice)) => choice,
             None => {
                 let words: Vec<_> = choices.iter().map(|&(word, _)| word).collect();
-                self.fail(name, found(value), format!("one of {}", words.join(", ")));
+                self.add_error(name, describe(value), format!("one of {}", words.join(", ")));
                 default
             }
         }
     }
 
-    /// Reads a nested mapping; one left out is read as an empty one.
+    /// Reads a nested mapping; a missing one is read as empty.
     pub(crate) fn section<T>(&self, name: &str, read: impl FnOnce(&Reader<'_>) -> T) -> T {
-        Reader::new(self.path_of(name), self.take(name), self.shared).finish(read)
+        Reader::new(self.path_of(name), self.lookup(name), self.shared).read_with(read)
     }
 
-    /// Reads a list of mappings of at least `min` and at most `max` items.
+    /// Reads a list of mappings whose length is in `count`.
     pub(crate) fn list<T>(
         &self,
         name: &str,
@@ -212,12 +212,12 @@
         read: impl Fn(&Reader<'_>) -> T,
     ) -> Vec<T> {
         let items = self.items(name);
-        if !count.contains(&items.len()) && !self.failed(name) {
+        if !count.contains(&items.len()) && !self.has_error(name) {
             let allowed = format!("{} to {} items", count.start(), count.end());
-            self.fail(name, format!("found {} items", items.len()), allowed);
+            self.add_error(name, format!("found {} items", items.len()), allowed);
         }
         let read = |(path, value): (String, &Value)| {
-            Reader::new(self.path_of(&path), Some(value), self.shared).finish(&read)
+            Reader::new(self.path_of(&path), Some(value), self.shared).read_with(&read)
         };
         items.into_iter().map(read).collect()
     }
@@ -231,42 +231,46 @@
             names.insert(1, path_name.as_str());
         }
         let given: Vec<_> =
-            names.iter().filter_map(|&name| Some((name, self.take(name)?))).collect();
+            names.iter().filter_map(|&name| Some((name, self.lookup(name)?))).collect();
         let allowed = format!("exactly one of {}", names.join(", "));
         match given[..] {
-            [] => self.fail(inline, "missing", allowed),
+            [] => self.add_error(inline, "missing", allowed),
             [(name, value)] => return self.resolved_secret(name, value, inline, &path_name),
-            [_, (second, _), ..] => self.fail(second, "found beside another form", allowed),
+            [_, (second, _), ..] => self.add_error(second, "found beside another form", allowed),
         }
         String::new()
     }
 
     fn resolved_secret(&self, name: &str, value: &Value, inline: &str, path_name: &str) -> String {
         let Some(text) = value.as_str().filter(|text| !text.is_empty()) else {
-            self.fail(name, "found no text", "a text that is not empty");
+            self.add_error(name, "found no text", "a text that is not empty");
             return String::new();
         };
         let resolved = if name == inline {
             Ok(text.to_owned())
         } else if name == path_name {
             std::fs::read_to_string(text)
-                .map_err(|err| format!("cannot read {}: {err}", named(text)))
+                .map_err(|err| format!("cannot read {}: {err}", quotable(text)))
         } else {
-            (self.shared.env)(text).ok_or_else(|| format!("{} is not set", named(text)))
+            (self.shared.env)(text).ok_or_else(|| format!("{} is not set", quotable(text)))
         };
         match resolved {
             Ok(secret) if secret.trim().is_empty() => {
-                self.fail(name, format!("{} is empty", named(text)), "a secret that is not empty");
+                self.add_error(
+                    name,
+                    format!("{} is empty", quotable(text)),
+                    "a secret that is not empty",
+                );
             }
             Ok(secret) => return secret,
-            Err(problem) if name == path_name => self.fail(name, problem, "a readable file"),
-            Err(problem) => self.fail(name, problem, "a variable that is set"),
+            Err(problem) if name == path_name => self.add_error(name, problem, "a readable file"),
+            Err(problem) => self.add_error(name, problem, "a variable that is set"),
         }
         String::new()
     }
 
-    /// Records an error of `name` unless `holds`, or unless one of `fields`
-    /// has an error already and the check would rest on a stand-in.
+    /// Records an error for `name` if `holds` is false. Does nothing if one of `fields` already has
+    /// an error, because the check would then use a placeholder.
     pub(crate) fn require(
         &self,
         fields: &[&str],
@@ -275,29 +279,29 @@
         problem: impl Into<String>,
         allowed: impl Into<String>,
     ) {
-        if !holds && !fields.iter().any(|field| self.failed(field)) {
-            self.fail(name, problem, allowed);
+        if !holds && !fields.iter().any(|field| self.has_error(field)) {
+            self.add_error(name, problem, allowed);
         }
     }
 
-    /// Records an error for each text that stands twice in `values`, the
-    /// values of `field` in the items of the list `name`.
+    /// Records an error for each repeated text in `values`, the values of `field` in the items of
+    /// the list `name`.
     pub(crate) fn require_distinct(&self, name: &str, field: &str, values: &[&str]) {
         for (index, value) in values.iter().enumerate() {
             let path = format!("{name}[{index}].{field}");
             if values[..index].contains(value) && !value.is_empty() {
-                self.fail(&path, format!("found {value:?} again"), "each only once");
+                self.add_error(&path, format!("found {value:?} again"), "each only once");
             }
         }
     }
 
-    /// Whether the field is there.
-    pub(crate) fn has(&self, name: &str) -> bool {
-        self.take(name).is_some()
+    /// Returns whether the field is present, and records its name as known.
+    pub(crate) fn is_present(&self, name: &str) -> bool {
+        self.lookup(name).is_some()
     }
 
-    /// Whether the field, or one below it, has an error so far.
-    pub(crate) fn failed(&self, name: &str) -> bool {
+    /// Returns whether the field, or one below it, has an error so far.
+    pub(crate) fn has_error(&self, name: &str) -> bool {
         let path = self.path_of(name);
         let below = |found: &str| {
             found
@@ -307,12 +311,17 @@
         self.shared.errors.borrow().iter().any(|error| below(&error.path))
     }
 
-    /// Records an error of the field `name`.
-    pub(crate) fn fail(&self, name: &str, problem: impl Into<String>, allowed: impl Into<String>) {
-        self.record(self.path_of(name), problem.into(), allowed.into());
+    /// Records an error for the field `name`.
+    pub(crate) fn add_error(
+        &self,
+        name: &str,
+        problem: impl Into<String>,
+        allowed: impl Into<String>,
+    ) {
+        self.push_error(self.path_of(name), problem.into(), allowed.into());
     }
 
-    fn take(&self, name: &str) -> Option<&'a Value> {
+    fn lookup(&self, name: &str) -> Option<&'a Value> {
         let mut known = self.known.borrow_mut();
         if !known.iter().any(|other| other == name) {
             known.push(name.to_owned());
@@ -321,7 +330,7 @@
     }
 
     fn items(&self, name: &str) -> Vec<(String, &'a Value)> {
-        match self.take(name) {
+        match self.lookup(name) {
             None => Vec::new(),
             Some(Value::Sequence(items)) => items
                 .iter()
@@ -329,16 +338,16 @@
                 .map(|(index, item)| (format!("{name}[{index}]"), item))
                 .collect(),
             Some(other) => {
-                self.fail(name, found(other), "a list");
+                self.add_error(name, describe(other), "a list");
                 Vec::new()
             }
         }
     }
 
     fn checked_text(&self, name: &str, value: &Value, rule: TextRule) -> Option<String> {
-        let text = value.as_str().filter(|text| (rule.holds)(text));
+        let text = value.as_str().filter(|text| (rule.is_allowed)(text));
         if text.is_none() {
-            self.fail(name, found(value), rule.allowed);
+            self.add_error(name, describe(value), rule.allowed);
         }
         text.map(str::to_owned)
     }
@@ -346,22 +355,22 @@
     fn checked_address(&self, name: &str, value: &Value) -> Option<SocketAddr> {
         let address = value.as_str().and_then(|text| text.parse().ok());
         if address.is_none() {
-            self.fail(name, found(value), ADDRESS_ALLOWED);
+            self.add_error(name, describe(value), ADDRESS_ALLOWED);
         }
         address
     }
 
-    fn missing<T>(&self, name: &str, allowed: &str) -> Option<T> {
-        self.fail(name, "missing", allowed);
+    fn add_missing<T>(&self, name: &str, allowed: &str) -> Option<T> {
+        self.add_error(name, "missing", allowed);
         None
     }
 
-    fn refuse_unknown(&self) {
+    fn reject_unknown_fields(&self) {
         let known = self.known.borrow();
         for key in self.fields.into_iter().flat_map(Mapping::keys) {
-            let name = key.as_str().map_or_else(|| found(key), str::to_owned);
+            let name = key.as_str().map_or_else(|| describe(key), str::to_owned);
             if !known.contains(&name) {
-                self.fail(&name, "unknown field", format!("one of {}", known.join(", ")));
+                self.add_error(&name, "unknown field", format!("one of {}", known.join(", ")));
             }
         }
     }
@@ -370,23 +379,23 @@
         if self.path.is_empty() { name.to_owned() } else { format!("{}.{name}", self.path) }
     }
 
-    fn record(&self, path: String, problem: String, allowed: String) {
+    fn push_error(&self, path: String, problem: String, allowed: String) {
         self.shared.errors.borrow_mut().push(FieldError { path, problem, allowed });
     }
 }
 
-/// The text of a `_path` or `_env` field for an error, unless it looks as if
-/// the secret itself was put there.
-fn named(text: &str) -> &str {
+/// Returns the text of a `_path` or `_env` field for an error message, or a substitute if the text
+/// may be the secret itself.
+fn quotable(text: &str) -> &str {
     let plain = |c: char| c.is_ascii_alphanumeric() || matches!(c, '/' | '.' | '_' | '-');
     let is_path = text.contains(['/', '.']) && text.chars().all(plain);
     let is_variable = text.chars().all(|c| matches!(c, 'A'..='Z' | '0'..='9' | '_'));
     if text.len() <= MAX_FOUND_CHARS && (is_path || is_variable) { text } else { "what it names" }
 }
 
-const ADDRESS_ALLOWED: &str = "an IP address and port as 127.0.0.1:7080";
+const ADDRESS_ALLOWED: &str = "an IP address and port, such as 127.0.0.1:7080";
 
-fn found(value: &Value) -> String {
+fn describe(value: &Value) -> String {
     match value {
         Value::Null => "found nothing".to_owned(),
         Value::Bool(on) => format!("found {on}"),
--- a/crates/settings/src/rules.rs
+++ b/crates/settings/src/rules.rs
@@ -1,36 +1,36 @@
-//! What a text field may hold.
+//! Validation rules for text fields.
 
-/// Longest name, in characters.
+/// Maximum length of a name, in characters.
 pub const MAX_NAME_CHARS: usize = 64;
 
 /// A rule for the text of a field.
 #[derive(Clone, Copy)]
 pub(crate) struct TextRule {
-    /// What is allowed, for error messages.
+    /// Description of the allowed texts, for error messages.
     pub(crate) allowed: &'static str,
-    /// Whether a text is allowed.
-    pub(crate) holds: fn(&str) -> bool,
+    /// Returns whether a text is allowed.
+    pub(crate) is_allowed: fn(&str) -> bool,
 }
 
-/// Names of processes, places, organisations, kinds and callers.
+/// Names of processes, data centres, racks, organisations, kinds and callers.
 pub(crate) const NAME: TextRule =
-    TextRule { allowed: "1 to 64 of the characters a-z 0-9 _ -", holds: is_name };
+    TextRule { allowed: "1 to 64 of the characters a-z 0-9 _ -", is_allowed: is_name };
 
-/// SHA-256 of a token.
+/// SHA-256 of a token, in hexadecimal.
 pub(crate) const SHA256: TextRule = TextRule {
     allowed: "64 hexadecimal digits in lower case, as `sycamorerail keys token` prints them",
-    holds: is_sha256,
+    is_allowed: is_sha256,
 };
 
 /// Base URL of a peer.
 pub(crate) const HTTP_URL: TextRule =
-    TextRule { allowed: "a base URL as http://127.0.0.1:2379", holds: is_http_url };
+    TextRule { allowed: "a base URL such as http://127.0.0.1:2379", is_allowed: is_http_url };
 
-/// Kinds that an upstream serves.
+/// Pattern for the request kinds that an upstream serves.
 pub(crate) const KIND_PATTERN: TextRule =
-    TextRule { allowed: "organisation/kind, */kind or *", holds: is_kind_pattern };
+    TextRule { allowed: "organisation/kind, */kind or *", is_allowed: is_kind_pattern };
 
-/// Whether `text` is a name: `[a-z0-9_-]{1,64}`.
+/// Returns whether `text` is a valid name: `[a-z0-9_-]{1,64}`.
 #[must_use]
 pub fn is_name(text: &str) -> bool {
     let allowed = |c: char| matches!(c, 'a'..='z' | '0'..='9' | '_' | '-');
--- a/crates/settings/src/standin.rs
+++ b/crates/settings/src/standin.rs
@@ -1,4 +1,4 @@
-//! Settings of the stand-ins.
+//! Settings of the stand-ins: test programs that replace the platform and an upstream.
 
 use {
     crate::{
@@ -27,15 +27,15 @@
 /// Settings of `sycamorerail-platform-standin`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlatformStandinSettings {
-    /// Where it listens.
+    /// Address on which it listens.
     pub http_address: SocketAddr,
     /// Seed of its random choices.
     pub seed: u64,
-    /// Writes a second beyond which it answers 429; 0 for no limit.
+    /// Maximum writes per second; beyond it the answer is 429. 0 means no limit.
     pub max_writes_per_s: u32,
-    /// Reads a second beyond which it answers 429; 0 for no limit.
+    /// Maximum reads per second; beyond it the answer is 429. 0 means no limit.
     pub max_reads_per_s: u32,
-    /// Delay of each answer.
+    /// Delay before each answer.
     pub delay_ms: u32,
 }
 
@@ -44,7 +44,7 @@
 pub struct UpstreamStandinSettings {
     /// Name it announces.
     pub name: String,
-    /// Where it listens.
+    /// Address on which it listens.
     pub http_address: SocketAddr,
     /// Base URL of its agent.
     pub agent_url: String,
@@ -54,13 +54,13 @@
     pub max_task_bytes: u64,
     /// Kinds it announces: `organisation/kind`, `*/kind` or `*`.
     pub kinds: Vec<String>,
-    /// Pause between announcements.
+    /// Interval between announcements.
     pub announce_ms: u32,
-    /// Run time of a task whose payload names none.
+    /// Run time of a task whose payload does not set one.
     pub default_run_ms: u32,
     /// Seed of its random choices.
     pub seed: u64,
-    /// Most ids of started tasks that it keeps; beyond it they are counted only.
+    /// Maximum number of ids of started tasks that it keeps; further starts are only counted.
     pub kept_starts: u32,
 }
 
@@ -69,7 +69,7 @@
     ///
     /// # Errors
     ///
-    /// All fields that are unknown, missing, of the wrong type or out of range.
+    /// Lists all fields that are unknown, missing, of the wrong type or out of range.
     pub fn read(yaml: &str, env: Env<'_>) -> Result<Self, SettingsErrors> {
         reader::document(yaml, env, Self::read_fields)
     }
@@ -78,7 +78,7 @@
     ///
     /// # Errors
     ///
-    /// When the file cannot be read or its content is refused.
+    /// The file cannot be read, or its content is invalid.
     pub fn load(path: &Path) -> Result<Self, LoadError> {
         load::load(path, |yaml| Self::read(yaml, &load::process_env))
     }
@@ -99,7 +99,7 @@
     ///
     /// # Errors
     ///
-    /// All fields that are unknown, missing, of the wrong type or out of range.
+    /// Lists all fields that are unknown, missing, of the wrong type or out of range.
     pub fn read(yaml: &str, env: Env<'_>) -> Result<Self, SettingsErrors> {
         reader::document(yaml, env, Self::read_fields)
     }
@@ -108,7 +108,7 @@
     ///
     /// # Errors
     ///
-    /// When the file cannot be read or its content is refused.
+    /// The file cannot be read, or its content is invalid.
     pub fn load(path: &Path) -> Result<Self, LoadError> {
         load::load(path, |yaml| Self::read(yaml, &load::process_env))
     }
--- a/crates/settings/src/template.rs
+++ b/crates/settings/src/template.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        entry::{LONGEST_DEADLINE_MS, TokenSettings},
+        entry::{MAX_DEADLINE_MS, TokenSettings},
         error::{LoadError, SettingsErrors},
         load,
         reader::{self, Reader},
@@ -13,7 +13,7 @@
 
 /// Default of `quota.starts_per_s`.
 pub const DEFAULT_STARTS_PER_S: u32 = 1_000;
-/// Default of `quota.burst`: several jobs of the largest size at once.
+/// Default of `quota.burst`: enough for several jobs of the maximum size at once.
 pub const DEFAULT_BURST: u32 = 1_000;
 /// Default of `quota.max_in_flight`.
 pub const DEFAULT_MAX_IN_FLIGHT: u32 = 5_000;
@@ -23,7 +23,7 @@
 pub const DEFAULT_SIZE_BYTES: u64 = 1024;
 /// Default of `kinds[].run_ms`.
 pub const DEFAULT_RUN_MS: u32 = 100;
-/// Default of `kinds[].max_attempts` where the kind is repeatable, else 1.
+/// Default of `kinds[].max_attempts` for a repeatable kind; for other kinds it is 1.
 pub const DEFAULT_MAX_ATTEMPTS: u8 = 2;
 
 const MAX_KINDS: usize = 64;
@@ -54,48 +54,48 @@
 pub struct Template {
     /// The organisation's name.
     pub organisation: String,
-    /// Share of the upstreams.
+    /// Limits on the organisation's use of the upstreams.
     pub quota: Quota,
-    /// Callers' tokens.
+    /// Tokens of the organisation's callers.
     pub callers: Vec<TokenSettings>,
     /// Request kinds.
     pub kinds: Vec<KindTemplate>,
 }
 
-/// Share of the upstreams that an organisation may use.
+/// Limits on an organisation's use of the upstreams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Quota {
-    /// Task starts a second, over all entries.
+    /// Maximum task starts per second, summed over all entries.
     pub starts_per_s: u32,
-    /// Starts at once beyond the rate.
+    /// Starts that may exceed the rate in a burst.
     pub burst: u32,
-    /// Most tasks accepted and not answered, over all entries.
+    /// Maximum number of tasks accepted but not yet answered, summed over all entries.
     pub max_in_flight: u32,
 }
 
 /// One request kind.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KindTemplate {
-    /// Its name, in paths and counters.
+    /// Name of the kind, as used in URL paths and counters.
     pub name: String,
-    /// Urgency against other kinds.
+    /// Urgency relative to other kinds.
     pub urgency: Urgency,
-    /// Longest time to the answer.
+    /// Maximum time until the answer.
     pub deadline_ms: u32,
     /// Placement across data centres.
     pub placement: PlacementTemplate,
     /// Whether a request may run more than once.
     pub repeatable: bool,
-    /// What is given up first.
+    /// What is sacrificed first under load.
     pub priority: Priority,
-    /// Declared size of a task, a hint.
+    /// Declared size of a task; a hint.
     pub size_bytes: u64,
-    /// Declared run time of a task, a hint.
+    /// Declared run time of a task; a hint.
     pub run_ms: u32,
-    /// Attempts at a repeatable request, the first included.
+    /// Maximum attempts at a repeatable request, including the first.
     pub max_attempts: u8,
-    /// A repeatable request slower than this share of run times is hedged;
-    /// `None` for never. In hundredths: 95 for the 95th percentile.
+    /// A repeatable request that takes longer than this percentile of run times is hedged: 95 for
+    /// the 95th percentile, `None` for never.
     pub hedge_percentile: Option<u8>,
 }
 
@@ -104,13 +104,13 @@
 pub enum Urgency {
     /// Before all others.
     Urgent,
-    /// The usual.
+    /// The default.
     Normal,
     /// After all others.
     Background,
 }
 
-/// What a kind gives up first under load.
+/// Whether a kind sacrifices time or extra messages under load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Priority {
     /// Response time matters more: messages may be wasted to save time.
@@ -124,7 +124,7 @@
 pub struct PlacementTemplate {
     /// How tasks are spread.
     pub spread: SpreadTemplate,
-    /// Data centres not to be used, with `avoid`.
+    /// Data centres that get no tasks; set only with `SpreadTemplate::Avoid`.
     pub avoid: Vec<String>,
     /// How the upstream of a task is chosen.
     pub policy: PolicyTemplate,
@@ -135,24 +135,24 @@
 pub enum SpreadTemplate {
     /// Over all data centres and racks.
     Even,
-    /// In the entry's own while it has room.
+    /// In the entry's own data centre while it has capacity.
     Local,
-    /// Anywhere but in the named ones.
+    /// In all data centres but the listed ones.
     Avoid,
 }
 
 /// How the upstream of a task is chosen; see docs/DECISIONS.md.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PolicyTemplate {
-    /// The policy measured to be best for the kind's priority.
+    /// The policy that suits the kind's priority best.
     ByPriority,
-    /// Any upstream with room.
+    /// A random upstream with free capacity.
     Random,
-    /// The better of two at random.
+    /// The better of two random upstreams.
     TwoChoices,
-    /// The least expected wait of all.
+    /// The upstream with the shortest expected wait.
     LeastWait,
-    /// Only where a slot is free; the rest waits at the entry.
+    /// Only an upstream with a free slot; other tasks wait at the entry.
     LateBinding,
 }
 
@@ -161,7 +161,7 @@
     ///
     /// # Errors
     ///
-    /// All fields that are unknown, missing, of the wrong type or out of range.
+    /// Lists all fields that are unknown, missing, of the wrong type or out of range.
     pub fn read(yaml: &str) -> Result<Self, SettingsErrors> {
         reader::document(yaml, &|_| None, Self::read_fields)
     }
@@ -170,7 +170,7 @@
     ///
     /// # Errors
     ///
-    /// When the file cannot be read or its content is refused.
+    /// The file cannot be read, or its content is invalid.
     pub fn load(path: &Path) -> Result<Self, LoadError> {
         load::load(path, Self::read)
     }
@@ -205,12 +205,12 @@
         let kind = Self {
             name: reader.text("name", NAME),
             urgency: reader.choice("urgency", Urgency::Normal, URGENCIES),
-            deadline_ms: reader.number("deadline_ms", DEFAULT_DEADLINE_MS, 1..=LONGEST_DEADLINE_MS),
+            deadline_ms: reader.number("deadline_ms", DEFAULT_DEADLINE_MS, 1..=MAX_DEADLINE_MS),
             placement: reader.section("placement", PlacementTemplate::read),
             repeatable,
             priority: reader.choice("priority", Priority::Time, PRIORITIES),
             size_bytes: reader.number("size_bytes", DEFAULT_SIZE_BYTES, 0..=u64::MAX),
-            run_ms: reader.number("run_ms", DEFAULT_RUN_MS, 1..=LONGEST_DEADLINE_MS),
+            run_ms: reader.number("run_ms", DEFAULT_RUN_MS, 1..=MAX_DEADLINE_MS),
             max_attempts: reader.number("max_attempts", default_attempts, 1..=10),
             hedge_percentile: reader.optional_number("hedge_percentile", 50..=99),
         };
@@ -238,7 +238,7 @@
             self.run_ms <= self.deadline_ms,
             "run_ms",
             format!("found {} with deadline_ms {}", self.run_ms, self.deadline_ms),
-            "at most deadline_ms, else no task could ever end in time",
+            "at most deadline_ms, otherwise no task can end in time",
         );
     }
 }
--- a/crates/settings/tests/all_errors.rs
+++ b/crates/settings/tests/all_errors.rs
@@ -1,4 +1,4 @@
-//! Every error of a text is told at once, with its path and what is allowed.
+//! All errors of a document are reported at once, each with its path and the allowed values.
 
 use sycamorerail_settings::{
     SettingsErrors, agent::AgentSettings, entry::EntrySettings, standin::UpstreamStandinSettings,
--- a/crates/settings/tests/examples.rs
+++ b/crates/settings/tests/examples.rs
@@ -1,4 +1,4 @@
-//! The examples of the repository are read without an error.
+//! The examples in the repository are valid.
 
 use {
     std::{
@@ -18,7 +18,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples").join(path)
 }
 
-/// The text of an example whose keys are made and written to `dir`.
+/// Returns the text of an example, with its keys generated and written to `dir`.
 fn with_keys(path: &str, dir: &Path) -> String {
     let text = fs::read_to_string(example(path)).unwrap();
     let keys =
--- a/crates/settings/tests/field_names.rs
+++ b/crates/settings/tests/field_names.rs
@@ -1,4 +1,4 @@
-//! A field name with any mistake in it is refused, and the error names it.
+//! A misspelt field name is rejected, and the error's path contains it.
 
 use {
     proptest::prelude::*,
@@ -8,7 +8,7 @@
 const TEMPLATE: &str = include_str!("../../../examples/alpenfunk/template.yaml");
 const UPSTREAM: &str = include_str!("../../../examples/demo/upstream-1.yaml");
 
-/// The lines of a text that name a field: start and length of each name.
+/// Returns the start and length of each field name in a text.
 fn names(text: &str) -> Vec<(usize, usize)> {
     let mut found = Vec::new();
     let mut line_start = 0;
@@ -23,7 +23,7 @@
     found
 }
 
-/// Puts `letter` into a name of `text`; returns the new text and name.
+/// Inserts `letter` into a field name of `text`; returns the new text and the new name.
 fn mutate(text: &str, choice: usize, at: usize, letter: char) -> (String, String) {
     let names = names(text);
     let (start, length) = names[choice % names.len()];
@@ -33,7 +33,7 @@
     (format!("{}{name}{rest}", &text[..start]), name)
 }
 
-fn names_it<T>(read: Result<T, SettingsErrors>, name: &str) -> bool {
+fn error_names_field<T>(read: Result<T, SettingsErrors>, name: &str) -> bool {
     let ends = |path: &str| path == name || path.ends_with(&format!(".{name}"));
     read.is_err_and(|errors| errors.errors.iter().any(|error| ends(&error.path)))
 }
@@ -45,19 +45,19 @@
     fn template_names(choice: usize, at: usize, letter in "[a-z]") {
         let letter = letter.chars().next().unwrap();
         let (yaml, name) = mutate(TEMPLATE, choice, at, letter);
-        prop_assert!(names_it(Template::read(&yaml), &name), "{name}");
+        prop_assert!(error_names_field(Template::read(&yaml), &name), "{name}");
     }
 
     #[test]
     fn upstream_names(choice: usize, at: usize, letter in "[a-z]") {
         let letter = letter.chars().next().unwrap();
         let (yaml, name) = mutate(UPSTREAM, choice, at, letter);
-        prop_assert!(names_it(UpstreamStandinSettings::read(&yaml, &|_| None), &name), "{name}");
+        prop_assert!(error_names_field(UpstreamStandinSettings::read(&yaml, &|_| None), &name), "{name}");
     }
 
     #[test]
     fn any_text(yaml in ".{0,200}") {
-        // Must return, whatever the text.
+        // Must not panic on any text.
         let _ = Template::read(&yaml);
     }
 }
